--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/RouteMatch.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/RouteMatch.java
@@ -6,35 +6,35 @@
 import org.wagtaillug.route.Route;
 import org.wagtaillug.route.ServingConfiguration;
 
-/** What the configuration says of a request that arrives. */
+/** The result of looking a request up in the configuration. */
 sealed interface RouteMatch {
     /**
-     * It may be served.
+     * The request may be served.
      *
-     * @param route where it goes
-     * @param customer whose key it has; empty where none is asked for
+     * @param route the matching route
+     * @param customer the customer whose key it carries; empty if none is required and none is known
      */
     record Allowed(Route route, Optional<Customer> customer) implements RouteMatch {}
 
     /**
-     * It is not to be served.
+     * The request must be refused.
      *
-     * @param code why
-     * @param message for the caller
+     * @param code the result code
+     * @param message the error message for the caller
      */
     record Denied(ResultCode code, String message) implements RouteMatch {}
 
-    /** Looks a request up in a configuration. */
+    /** Looks up a request by host, path and key. */
     static RouteMatch of(RoutedRequest request, ServingConfiguration configuration) {
         Optional<Route> route = configuration.routes().find(request.host(), request.path());
         if (route.isEmpty()) {
-            String message = "no route for \"" + request.host() + request.path() + "\"";
+            String message = "no route matches \"" + request.host() + request.path() + "\"";
             return new Denied(ResultCode.UNKNOWN_ROUTE, message);
         }
         Optional<Customer> customer = request.callerKey().map(configuration.customers()::get);
         boolean open = route.get().open() || configuration.customers().isEmpty();
         if (customer.isEmpty() && !open) {
-            return new Denied(ResultCode.KEY_REJECTED, "the key is not one that is in force");
+            return new Denied(ResultCode.KEY_REJECTED, "the API key is not valid");
         }
         return new Allowed(route.get(), customer);
     }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/RoutedRequest.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/RoutedRequest.java
@@ -8,18 +8,18 @@
 import org.wagtaillug.routing.PrefixSegment;
 
 /**
- * What a caller asks, as far as decisions need it; the traffic side keeps head and body.
+ * The parts of a caller's request that decisions depend on. Its head and body stay with the I/O layer.
  *
- * @param id the caller's name of this attempt of its own
- * @param host as the caller named it
- * @param path as the caller sent it
- * @param callerKey what it identifies itself by
+ * @param id id of the request, chosen by the caller; a retry has another one
+ * @param host the requested host
+ * @param path the requested path
+ * @param callerKey the API key of the caller
  * @param patience how long the caller waits from now
- * @param pieces how many pieces each step has; a step that is not named has none
- * @param pieceKey what steps without inputs work on
- * @param promptParts the parts of its prompt, in order; empty if it has none
- * @param promptTokens the length of the prompt, 0 if it has none
- * @param resumesAfter the last event that the caller has of a stream that broke off
+ * @param pieces number of pieces of each step; 0 for steps that are not listed
+ * @param pieceKey input of steps without predecessors
+ * @param promptParts segments of the prompt, in order; empty if there is none
+ * @param promptTokens length of the prompt, 0 if there is none
+ * @param resumesAfter id of the last event that the caller has received of an interrupted stream
  */
 public record RoutedRequest(
         RequestId id,
@@ -32,18 +32,17 @@
         List<PrefixSegment> promptParts,
         int promptTokens,
         Optional<String> resumesAfter) {
-    /** Copies the lists. */
     public RoutedRequest {
         pieces = List.copyOf(pieces);
         promptParts = List.copyOf(promptParts);
     }
 
-    /** The same for a request that its caller sends again under another id, and hardly for any other. */
+    /** A hash that is equal for retries of a request under other ids, and rarely for other requests. */
     public String fingerprint() {
         return Integer.toHexString(Objects.hash(host, path, pieces, pieceKey, promptParts, promptTokens));
     }
 
-    /** How many pieces a step has. */
+    /** Returns the number of pieces of a step. */
     public int piecesOf(int step) {
         return step < pieces.size() ? pieces.get(step) : 0;
     }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/SendEnd.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/SendEnd.java
@@ -5,37 +5,37 @@
 /** How an attempt at an upstream ended. */
 public sealed interface SendEnd {
     /**
-     * No byte of it was sent.
+     * No byte of the request was sent.
      *
-     * @param reason for the log
+     * @param reason the cause, for the log
      */
     record Unsent(String reason) implements SendEnd {}
 
     /**
-     * The upstream said that it has not run it and will not.
+     * The upstream reported that it has not executed the request and will not.
      *
-     * @param status what it said
+     * @param status the status of its response
      */
     record NotRun(int status) implements SendEnd {}
 
     /**
-     * The upstream answered with a failure of its own, which is kept and may be passed on.
+     * The upstream answered with a failure, which is kept and may be forwarded.
      *
-     * @param status what it said
+     * @param status the status of its response
      */
     record Failed(int status) implements SendEnd {}
 
-    /** The whole answer is with the caller. */
+    /** The complete answer was sent to the caller. */
     record Passed() implements SendEnd {}
 
     /**
-     * The connection broke, or what came is not the answer to this request. The request may have run.
+     * The connection failed, or the response does not belong to this request, which may have been executed.
      *
-     * @param reason for the log
-     * @param lastEvent the last event that the caller has, if it has any
+     * @param reason the cause, for the log
+     * @param lastEvent id of the last event that the caller has received, if any
      */
     record Broken(String reason, Optional<String> lastEvent) implements SendEnd {}
 
-    /** The caller is gone, or this node gave the attempt up. */
+    /** The caller has disconnected, or this node has cancelled the attempt. */
     record GivenUp() implements SendEnd {}
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/SendOrder.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/SendOrder.java
@@ -8,19 +8,19 @@
 import org.wagtaillug.id.RequestId;
 
 /**
- * One request on its way to one upstream.
+ * An attempt to send a request to an upstream.
  *
- * @param request which
- * @param attempt given once in a run of the node: an id may come again while the word of its earlier attempt is on its way;
- *     a later one replaces an earlier one
- * @param upstream where to
- * @param deadline the upstream is to stop at it
- * @param customer whose request it is; empty on a route that asks for no key
- * @param inputs the handles of the results that it takes
- * @param resumesAfter the last event of an earlier attempt that the caller has
- * @param stream whether the answer is a series of events
- * @param mayGoElsewhere whether another upstream may get the request if this one falls silent
- * @param ownConnection whether it must not share a connection with anything before it
+ * @param request id of the request
+ * @param attempt number of the attempt, unique within a run of the node: a request id may be reused while the end of
+ *     its earlier attempt has not been reported; a later attempt replaces an earlier one
+ * @param upstream the target
+ * @param deadline when the upstream must stop
+ * @param customer the customer of the request; empty on a route that requires no key
+ * @param inputs handles of the results that the upstream fetches
+ * @param resumesAfter id of the last event of an earlier attempt that the caller has received
+ * @param stream whether the answer is a stream of events
+ * @param mayGoElsewhere whether another upstream may get the request if this one stops responding
+ * @param ownConnection whether the request must not be sent on a connection that was used before
  */
 public record SendOrder(
         RequestId request,
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/ServingEffect.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/ServingEffect.java
@@ -15,95 +15,95 @@
 import org.wagtaillug.result.Refusal;
 import org.wagtaillug.route.CallerLimits;
 
-/** Something that a node wants done. */
+/** An output of {@link Serving}, to be carried out by the caller. */
 public sealed interface ServingEffect {
     /**
-     * Send a request to an upstream and pass a good answer on as it comes.
+     * Send a request to an upstream and forward a successful answer as it arrives.
      *
-     * @param order what and where to
+     * @param order the request and its target
      */
     record Send(SendOrder order) implements ServingEffect {}
 
     /**
      * Close the connection of an attempt.
      *
-     * @param request which
-     * @param attempt of it
+     * @param request the request
+     * @param attempt its attempt
      */
     record GiveUpSend(RequestId request, int attempt) implements ServingEffect {}
 
     /**
-     * Give the caller a final answer of our own.
+     * Send the caller a final answer from this node.
      *
-     * @param request which
-     * @param refusal what to say
+     * @param request the request
+     * @param refusal the answer
      */
     record Refuse(RequestId request, Refusal refusal) implements ServingEffect {}
 
     /**
-     * Pass on the failure that the last attempt has kept.
+     * Forward the failure response that was kept of the last attempt.
      *
-     * @param request which
+     * @param request the request
      */
     record PassFailure(RequestId request) implements ServingEffect {}
 
     /**
-     * Close the caller's connection: its answer has begun and cannot be finished.
+     * Close the caller's connection: its answer has started and cannot be completed.
      *
-     * @param request which
+     * @param request the request
      */
     record Cut(RequestId request) implements ServingEffect {}
 
     /**
-     * Forget a request: nothing more will be said of it.
+     * Discard the state of a request; no further effect refers to it.
      *
-     * @param request which
+     * @param request the request
      * @param route its route
      * @param outcome how it ended
-     * @param took from its arrival
+     * @param took time since its arrival
      */
     record Finished(RequestId request, String route, Outcome outcome, Duration took) implements ServingEffect {}
 
-    /** How a request ended, as far as metrics tell. */
+    /** How a request ended, as reported in metrics. */
     enum Outcome {
-        /** The upstream's whole answer went to the caller. */
+        /** The complete answer of the upstream was sent to the caller. */
         PASSED,
-        /** An upstream's failure went to the caller. */
+        /** The failure response of an upstream was sent to the caller. */
         FAILED,
-        /** This node refused it, and it has not run. */
+        /** This node refused the request; it was not executed. */
         REFUSED,
-        /** Nobody knows whether it ran, or its answer broke off. */
+        /** It is unknown whether the request was executed, or its answer was cut off. */
         LOST,
-        /** The caller left. */
+        /** The caller disconnected. */
         LEFT
     }
 
     /**
      * Call a stage server.
      *
-     * @param call what and where to
+     * @param call the call and its target
      */
     record CallBatch(BatchCall call) implements ServingEffect {}
 
     /**
-     * Tell a stage server that results are not needed any more.
+     * Tell a stage server that results are no longer needed.
      *
-     * @param release given once in a run of the node
-     * @param maker which server
-     * @param handles which results
+     * @param release number of the release, unique within a run of the node
+     * @param maker the server that holds the results
+     * @param handles handles of the results
      */
     record ReleaseResults(long release, Listing maker, List<String> handles) implements ServingEffect {}
 
     /**
-     * Say something to another node; it may be lost.
+     * Send a message to another node; it may be lost.
      *
-     * @param receiver who
-     * @param message what
+     * @param receiver the receiving node
+     * @param message the message
      */
     record SendToPeer(VmId receiver, ServingMessage message) implements ServingEffect {}
 
     /**
-     * Keep connections to these nodes.
+     * Keep connections to exactly these nodes.
      *
      * @param peers all of them
      */
@@ -112,52 +112,52 @@
     /**
      * Read a feed.
      *
-     * @param feed which
-     * @param read what
+     * @param feed the feed
+     * @param read the range to read
      */
     record ReadFeed(FeedName feed, FeedReader.Read read) implements ServingEffect {}
 
     /**
-     * Write a record of a feed that belongs to the nodes. {@link ServingEvent.RecordWritten} follows.
+     * Write a record of a feed that nodes write. Answered by {@link ServingEvent.RecordWritten}.
      *
-     * @param feed which
-     * @param key of the record
+     * @param feed the feed
+     * @param key key of the record
      * @param value its content; empty to remove the key
-     * @param expectedEnd the write is to fail unless the feed ends here; empty to write whatever was written before
+     * @param expectedEnd the write must fail unless the feed ends at this position; empty for an unconditional write
      */
     record WriteRecord(FeedName feed, String key, Optional<byte[]> value, OptionalLong expectedEnd)
             implements ServingEffect {
-        /** A write that does not depend on others. */
+        /** Creates an unconditional write. */
         WriteRecord(FeedName feed, String key, Optional<byte[]> value) {
             this(feed, key, value, OptionalLong.empty());
         }
     }
 
     /**
-     * Callers may send this from now on.
+     * Apply these limits to callers from now on.
      *
-     * @param limits what
+     * @param limits the limits
      */
     record LimitsChanged(CallerLimits limits) implements ServingEffect {}
 
     /**
-     * Say whether the balancer may send new connections.
+     * Report whether the load balancer may open new connections.
      *
-     * @param ready whether
-     * @param reason for the log
+     * @param ready whether the node is ready
+     * @param reason the cause, for the log
      */
     record ReadinessChanged(boolean ready, String reason) implements ServingEffect {}
 
     /**
      * Write a decision to the log.
      *
-     * @param decision which
+     * @param decision the decision
      */
     record LogDecision(Decision decision) implements ServingEffect {}
 
-    /** Close callers' connections that no request is on: nobody should send one to this node any more. */
+    /** Close idle caller connections, as no new request should reach this node any more. */
     record CloseIdleConnections() implements ServingEffect {}
 
-    /** Everything that was begun is finished; the process may end. */
+    /** All work is finished; the process may exit. */
     record DrainFinished() implements ServingEffect {}
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/ServingEvent.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/ServingEvent.java
@@ -11,129 +11,133 @@
 import org.wagtaillug.id.VmId;
 import org.wagtaillug.message.ServingMessage;
 
-/** Something that happened outside. */
+/** An input of {@link Serving}. */
 public sealed interface ServingEvent {
-    /** Time passed. */
+    /** The tick interval has elapsed. */
     record Tick() implements ServingEvent {}
 
     /**
-     * A caller's request is here, whole.
+     * A caller's request has been received completely.
      *
-     * @param request what it asks
+     * @param request the request
      */
     record RequestArrived(RoutedRequest request) implements ServingEvent {}
 
     /**
      * The caller has closed its connection.
      *
-     * @param request which
+     * @param request the caller's request
      */
     record CallerLeft(RequestId request) implements ServingEvent {}
 
     /**
-     * An upstream began a good answer.
+     * An upstream has started a successful answer.
      *
-     * @param request which
-     * @param attempt of it
+     * @param request the request
+     * @param attempt its attempt
      */
     record AnswerBegan(RequestId request, int attempt) implements ServingEvent {}
 
     /**
-     * An attempt is over; once for each {@link ServingEffect.Send}.
+     * An attempt has ended; sent once for each {@link ServingEffect.Send}.
      *
-     * @param request which
-     * @param attempt of it
-     * @param end how
+     * @param request the request
+     * @param attempt its attempt
+     * @param end how the attempt ended
      */
     record SendEnded(RequestId request, int attempt, SendEnd end) implements ServingEvent {}
 
     /**
-     * A call to a stage server is over; once for each {@link ServingEffect.CallBatch}.
+     * A call to a stage server has ended; sent once for each {@link ServingEffect.CallBatch}.
      *
-     * @param call its number
-     * @param end how
+     * @param call number of the call
+     * @param end how the call ended
      */
     record BatchCallEnded(long call, BatchCallEnd end) implements ServingEvent {}
 
     /**
-     * A release is over; once for each {@link ServingEffect.ReleaseResults}.
+     * A release has ended; sent once for each {@link ServingEffect.ReleaseResults}.
      *
-     * @param release its number
-     * @param done whether the server has taken it
+     * @param release number of the release
+     * @param done whether the server has accepted it
      */
     record ReleaseEnded(long release, boolean done) implements ServingEvent {}
 
     /**
-     * Another node said something.
+     * A message from another node has been received.
      *
-     * @param sender who
-     * @param message what
+     * @param sender the sending node
+     * @param message the message
      */
     record PeerMessageReceived(NodeId sender, ServingMessage message) implements ServingEvent {}
 
     /**
-     * A page of the newest records came.
+     * A page of the latest record of each key has been read.
      *
-     * @param feed which feed
-     * @param records the page
+     * @param feed the feed
+     * @param records the records of the page
      * @param more whether another page follows
-     * @param end where the feed ended
+     * @param end the end position of the feed
      */
     record FeedListed(FeedName feed, List<FeedRecord> records, boolean more, long end) implements ServingEvent {}
 
     /**
-     * Records came.
+     * Records have been read.
      *
-     * @param feed which feed
-     * @param batch what came
+     * @param feed the feed
+     * @param batch the records
      */
     record FeedRead(FeedName feed, FeedBatch batch) implements ServingEvent {}
 
     /**
-     * The records that were asked for are no longer kept.
+     * The requested records are past the retention of the store.
      *
-     * @param feed which feed
+     * @param feed the feed
      */
     record FeedForgotten(FeedName feed) implements ServingEvent {}
 
     /**
-     * A read got no answer, or a refusal.
+     * A read was not answered or was refused.
      *
-     * @param feed which feed
-     * @param reason for the log
+     * @param feed the feed
+     * @param reason the cause, for the log
      */
     record FeedFailed(FeedName feed, String reason) implements ServingEvent {}
 
     /**
-     * A write is over; once for each {@link ServingEffect.WriteRecord}.
+     * A write has ended; sent once for each {@link ServingEffect.WriteRecord}.
      *
-     * @param feed which feed
-     * @param key of the record
-     * @param done whether the store has confirmed it; if not, it may have been written all the same
+     * @param feed the feed
+     * @param key key of the record
+     * @param done whether the store has confirmed the write; an unconfirmed record may have been written
      */
     record RecordWritten(FeedName feed, String key, boolean done) implements ServingEvent {}
 
     /**
-     * A connection to a peer stands.
+     * A connection to a peer has been established.
      *
-     * @param peer which
+     * @param peer the peer
      */
     record PeerConnected(VmId peer) implements ServingEvent {}
 
     /**
-     * The connection to a peer has ended or cannot be made.
+     * The connection to a peer has been lost or cannot be established.
      *
-     * @param peer which
+     * @param peer the peer
      */
     record PeerDisconnected(VmId peer) implements ServingEvent {}
 
     /**
-     * The process is asked to end.
+     * The process has received the signal to shut down.
      *
-     * @param askedAt when; a process that is asked while it starts hears of it when it has started
+     * @param askedAt time of the signal; a process that is signalled during its startup reports it only after the
+     *     startup
      */
     record DrainStarted(Instant askedAt) implements ServingEvent {}
 
-    /** All answers are written and the process closes its ports: what is read from now on is not to be taken. */
+    /**
+     * All answers are written and the process is closing its ports: no request that is read from now on may be
+     * accepted.
+     */
     record PortsClosing() implements ServingEvent {}
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/ServingSetup.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/ServingSetup.java
@@ -12,7 +12,7 @@
 import org.wagtaillug.routing.UpstreamLimits.ColdBound;
 
 /**
- * What a node is told at its start. Immutable.
+ * Startup parameters of a node. Immutable.
  *
  * <pre>{@code
  * ServingSetup setup = ServingSetup.builder(self, domain, decoder).seed(new VmId("10.1.0.41")).build();
@@ -33,14 +33,14 @@
     private static final ColdBound DEFAULT_COLD_BOUND = new ColdBound(1.5, 5);
 
     /**
-     * The bound on repeats that holds for all nodes together.
+     * Limit on retries, shared by all nodes.
      *
-     * @param window any span of this length counts
-     * @param ratio repeats per request
-     * @param fixed repeats beyond that
+     * @param window length of the sliding window over which requests and retries are counted
+     * @param ratio retries allowed per request
+     * @param fixed retries allowed in addition to the ratio
      */
     public record Repeats(Duration window, double ratio, double fixed) {
-        /** Holds unless the settings say otherwise. */
+        /** The default if the settings give no limit. */
         public static final Repeats USUAL = new Repeats(Duration.ofSeconds(10), 0.2, 50);
     }
 
@@ -57,62 +57,62 @@
         rolloutLimits = builder.rolloutLimits;
     }
 
-    /** Starts a setup without seeds. */
+    /** Creates a builder without seeds. */
     public static Builder builder(NodeId self, DomainId domain, RecordDecoder decoder) {
         return new Builder(self, domain, decoder);
     }
 
-    /** This run of this node. */
+    /** Identifies this run of this node. */
     public NodeId self() {
         return self;
     }
 
-    /** Its failure domain. */
+    /** The failure domain of this node. */
     public DomainId domain() {
         return domain;
     }
 
-    /** Reads the records of feeds. */
+    /** Decodes feed records. */
     public RecordDecoder decoder() {
         return decoder;
     }
 
-    /** Nodes that are likely to be there. */
+    /** Nodes to contact at startup. */
     public List<VmId> seeds() {
         return seeds;
     }
 
-    /** The bound on repeats. */
+    /** The limit on retries. */
     public Repeats repeats() {
         return repeats;
     }
 
-    /** How long after the word to end the process is killed. */
+    /** The time between the signal to shut down and the kill of the process. */
     public Duration drainGrace() {
         return drainGrace;
     }
 
-    /** The ways of deciding that it uses. */
+    /** The policy features that are enabled. */
     public PolicyFeatures features() {
         return features;
     }
 
-    /** The processor of this node, in cores of the slowest kind. */
+    /** The CPU capacity of this node, in cores of the slowest kind. */
     public double capacity() {
         return capacity;
     }
 
-    /** The bound on requests that a cold upstream gets. */
+    /** The limit on requests to a cold upstream. */
     public ColdBound coldBound() {
         return coldBound;
     }
 
-    /** What a version that may be bad gets at most. */
+    /** The limit on requests that an unproven version gets. */
     public RolloutLimits rolloutLimits() {
         return rolloutLimits;
     }
 
-    /** Collects the parts of a {@link ServingSetup}. */
+    /** Builds a {@link ServingSetup}. */
     public static final class Builder {
         private static final Duration DEFAULT_GRACE = Duration.ofSeconds(8);
 
@@ -133,49 +133,48 @@
             this.decoder = decoder;
         }
 
-        /** Adds a node that is likely to be there. */
+        /** Adds a node to contact at startup. */
         public Builder seed(VmId seed) {
             seeds.add(seed);
             return this;
         }
 
-        /** Sets the bound on repeats. */
+        /** Sets the limit on retries. */
         public Builder repeats(Repeats bound) {
             repeats = bound;
             return this;
         }
 
-        /** Sets how long after the word to end the process is killed. */
+        /** Sets the time between the signal to shut down and the kill of the process. */
         public Builder drainGrace(Duration grace) {
             drainGrace = grace;
             return this;
         }
 
-        /** Sets the ways of deciding that it uses. */
+        /** Sets the policy features that are enabled. */
         public Builder features(PolicyFeatures used) {
             features = used;
             return this;
         }
 
-        /** Sets the processor of this node, in cores of the slowest kind. */
+        /** Sets the CPU capacity of this node, in cores of the slowest kind. */
         public Builder capacity(double cores) {
             capacity = cores;
             return this;
         }
 
-        /** Sets the bound on requests that a cold upstream gets. */
+        /** Sets the limit on requests to a cold upstream. */
         public Builder coldBound(ColdBound bound) {
             coldBound = bound;
             return this;
         }
 
-        /** Sets what a version that may be bad gets at most. */
+        /** Sets the limit on requests that an unproven version gets. */
         public Builder rolloutLimits(RolloutLimits limits) {
             rolloutLimits = limits;
             return this;
         }
 
-        /** Makes the setup. */
         public ServingSetup build() {
             return new ServingSetup(this);
         }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/package-info.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/package-info.java
@@ -1,5 +1,6 @@
 /**
- * A node that routes by host and path: every decision as a state machine, events in and effects out.
+ * Request serving of a node that routes by host and path, as a state machine that takes in events and returns
+ * effects.
  *
  * <pre>{@code
  * List<ServingEffect> effects = serving.handle(new ServingEvent.RequestArrived(request), now);
