--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/BranchTiming.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/BranchTiming.java
@@ -9,11 +9,12 @@
 import org.wagtaillug.route.Step;
 
 /**
- * When the branches of a request's steps start.
+ * Decides when the parallel branches of a request's steps start.
  *
- * <p>A result takes room at its maker until the request goes to its engine. A branch that is done long before the others
- * holds that room while nothing can use it, and the pool has none for others; if the request is given up meanwhile, it was
- * made for nothing. So a branch starts when the longest of its latest runs would just be done with the other branches.
+ * <p>A result occupies room at its stage server until the request is sent to its upstream. A branch that completes
+ * long before the others blocks that room for other requests, and its work is wasted if the request is abandoned
+ * meanwhile. A branch therefore starts so that, by the longest of its recent runs, it completes together with the
+ * other branches.
  */
 final class BranchTiming {
     private final StepDurations durations;
@@ -22,79 +23,80 @@
         this.durations = durations;
     }
 
-    /** Whether a step whose inputs are made is to be ordered now; what is not known starts at once. */
+    /** Whether a step with complete inputs should be ordered now. Returns true if durations are unknown. */
     boolean startsNow(Flow flow, Step step, Instant now) {
-        Optional<Duration> own = wayFrom(flow, step, new HashMap<>());
-        if (own.isEmpty()) {
+        Optional<Duration> ownPath = criticalPath(flow, step, new HashMap<>());
+        if (ownPath.isEmpty()) {
             return true;
         }
         Map<Integer, Optional<Duration>> known = new HashMap<>();
-        Duration others = Duration.ZERO;
-        for (Step last : flow.lastSteps()) {
-            if (flow.leadsTo(step, last)) {
+        Duration longestOther = Duration.ZERO;
+        for (Step last : flow.finalSteps()) {
+            if (flow.isOrPrecedes(step, last)) {
                 continue;
             }
-            Optional<Duration> rest = rest(flow, last, now, known);
-            if (rest.isEmpty()) {
+            Optional<Duration> remaining = remainingFor(flow, last, now, known);
+            if (remaining.isEmpty()) {
                 return true;
             }
-            others = longer(others, rest.get());
+            longestOther = longer(longestOther, remaining.get());
         }
-        return own.get().compareTo(others) >= 0;
+        return ownPath.get().compareTo(longestOther) >= 0;
     }
 
-    /** The longest way from a step's order to the join, by the longest of its latest runs. */
-    private Optional<Duration> wayFrom(Flow flow, Step step, Map<Integer, Optional<Duration>> known) {
+    /** The critical path from the order of a step to the end of all steps, by the longest of its recent runs. */
+    private Optional<Duration> criticalPath(Flow flow, Step step, Map<Integer, Optional<Duration>> known) {
         if (known.containsKey(step.number())) {
             return known.get(step.number());
         }
-        Optional<Duration> way = durations.longest(flow.route().id(), step.number());
+        Optional<Duration> path = durations.longest(flow.route().id(), step.number());
         Duration longest = Duration.ZERO;
         for (Step next : flow.steps()) {
             if (next.after().contains(step.number())) {
-                Optional<Duration> after = wayFrom(flow, next, known);
-                way = after.isEmpty() ? Optional.empty() : way;
-                longest = longer(longest, after.orElse(Duration.ZERO));
+                Optional<Duration> following = criticalPath(flow, next, known);
+                path = following.isEmpty() ? Optional.empty() : path;
+                longest = longer(longest, following.orElse(Duration.ZERO));
             }
         }
-        Duration following = longest;
-        way = way.map(own -> own.plus(following));
-        known.put(step.number(), way);
-        return way;
+        Duration longestFollowing = longest;
+        path = path.map(duration -> duration.plus(longestFollowing));
+        known.put(step.number(), path);
+        return path;
     }
 
-    /** How long it is until a step is made, if all goes as usual. */
-    private Optional<Duration> rest(Flow flow, Step step, Instant now, Map<Integer, Optional<Duration>> known) {
-        if (flow.made(step)) {
+    /** The expected time until a step is completed, by its typical duration. */
+    private Optional<Duration> remainingFor(Flow flow, Step step, Instant now, Map<Integer, Optional<Duration>> known) {
+        if (flow.completed(step)) {
             return Optional.of(Duration.ZERO);
         }
         if (known.containsKey(step.number())) {
             return known.get(step.number());
         }
-        Optional<Duration> rest = durations.usual(flow.route().id(), step.number());
+        Optional<Duration> remaining = durations.usual(flow.route().id(), step.number());
         Optional<Instant> orderedAt = flow.orderedAt(step);
         if (orderedAt.isPresent()) {
             Duration since = Duration.between(orderedAt.get(), now);
-            rest = rest.map(usual -> longer(Duration.ZERO, usual.minus(since)));
+            remaining = remaining.map(usual -> longer(Duration.ZERO, usual.minus(since)));
         } else {
-            Optional<Duration> inputs = restOfInputs(flow, step, now, known);
-            rest = rest.flatMap(usual -> inputs.map(usual::plus));
+            Optional<Duration> inputs = remainingForInputs(flow, step, now, known);
+            remaining = remaining.flatMap(usual -> inputs.map(usual::plus));
         }
-        known.put(step.number(), rest);
-        return rest;
+        known.put(step.number(), remaining);
+        return remaining;
     }
 
-    private Optional<Duration> restOfInputs(Flow flow, Step step, Instant now, Map<Integer, Optional<Duration>> known) {
+    private Optional<Duration> remainingForInputs(
+            Flow flow, Step step, Instant now, Map<Integer, Optional<Duration>> known) {
         Duration longest = Duration.ZERO;
-        for (Step before : flow.steps()) {
-            if (!step.after().contains(before.number())) {
+        for (Step predecessor : flow.steps()) {
+            if (!step.after().contains(predecessor.number())) {
                 continue;
             }
-            Optional<Duration> rest = rest(flow, before, now, known);
-            if (rest.isEmpty()) {
+            Optional<Duration> remaining = remainingFor(flow, predecessor, now, known);
+            if (remaining.isEmpty()) {
                 return Optional.empty();
             }
-            longest = longer(longest, rest.get());
+            longest = longer(longest, remaining.get());
         }
         return Optional.of(longest);
     }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/FeedExchange.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/FeedExchange.java
@@ -21,24 +21,24 @@
 import org.wagtaillug.peer.Peers;
 
 /**
- * How this node learns of the feeds, and passes them on.
+ * Reads the feeds and relays them to other nodes.
  *
- * <p>Two nodes of a failure domain read the store and pass on what they read; the others follow both. A follower that is
- * told nothing for a while reads for itself, so no node depends on another to hear of a change.
+ * <p>Two nodes of a failure domain read the store and relay what they read; the others follow both. A follower that
+ * receives nothing for some time reads the store itself, so that no node depends on another one to learn of a change.
  */
 final class FeedExchange {
-    /** A node whose own reads got no answer for this long, and that is behind a peer, asks the peer. */
+    /** A node whose own reads have not been answered for this long, and that is behind a peer, asks the peer. */
     private static final Duration STORE_READ_TIMEOUT = Duration.ofMillis(2500);
 
-    /** How often a peer is asked for the same feed. */
+    /** Minimum interval between two requests to peers for the same feed. */
     private static final Duration CATCH_UP_INTERVAL = Duration.ofMillis(300);
 
-    /** Entries may lapse for this long after an outage of the store without meaning that their writers are gone. */
+    /** For this long after an outage of the store, expired entries do not mean that their writers are gone. */
     private static final Duration OUTAGE_HOLD = Duration.ofSeconds(3);
 
     private final Peers peers;
     private final Consumer<ServingEffect> effects;
-    private final Receiver receiver;
+    private final RecordHandler handler;
     private final Map<FeedName, Feed> feeds = new EnumMap<>(FeedName.class);
     private final Map<FeedName, FeedReader> readers = new EnumMap<>(FeedName.class);
     private final Map<FeedName, Instant> catchUpDue = new EnumMap<>(FeedName.class);
@@ -46,21 +46,21 @@
     private final Set<FeedName> active = EnumSet.complementOf(EnumSet.of(FeedName.ROLLOUTS));
     private boolean reader = true;
 
-    /** Acts on what a record says. */
-    interface Receiver {
+    /** Applies feed records. */
+    interface RecordHandler {
         /**
-         * A newer record of a key.
+         * Applies a newer record of a key.
          *
-         * @param storeUnstable whether the store was away shortly before
-         * @return whether it says anything that was not known
+         * @param storeUnstable whether the store was unreachable shortly before
+         * @return whether the record contains new information
          */
-        boolean take(FeedName feed, FeedRecord record, boolean storeUnstable, Instant now);
+        boolean onRecord(FeedName feed, FeedRecord record, boolean storeUnstable, Instant now);
     }
 
-    FeedExchange(Peers peers, Consumer<ServingEffect> effects, Receiver receiver) {
+    FeedExchange(Peers peers, Consumer<ServingEffect> effects, RecordHandler handler) {
         this.peers = peers;
         this.effects = effects;
-        this.receiver = receiver;
+        this.handler = handler;
         for (FeedName name : FeedName.values()) {
             Feed feed = new Feed();
             feeds.put(name, feed);
@@ -69,13 +69,13 @@
         }
     }
 
-    /** Sets whether this node reads the store for others. */
-    void reader(boolean reads) {
+    /** Sets whether this node reads the store on behalf of others. */
+    void setReader(boolean reads) {
         reader = reads;
     }
 
-    /** Sets whether a feed is read that counts only at times. */
-    void activate(FeedName name, boolean wanted) {
+    /** Sets whether an optional feed is read. */
+    void setActive(FeedName name, boolean wanted) {
         if (wanted) {
             active.add(name);
         } else {
@@ -83,22 +83,22 @@
         }
     }
 
-    /** Whether this node hears of what is written to a feed, from the store or from others. */
+    /** Whether this node receives new records of a feed, from the store or from peers. */
     boolean fresh(FeedName name, Instant now) {
         return feeds.get(name).whole() && !readers.get(name).cutOff(now, name.relayTimeout());
     }
 
-    /** The position after the last record that is known. */
+    /** Returns the position after the last known record. */
     long position(FeedName name) {
         return position(feeds.get(name));
     }
 
-    /** Whether everything up to the position of a feed is known. */
-    boolean whole(FeedName name) {
+    /** Whether all records up to the position of a feed are known. */
+    boolean complete(FeedName name) {
         return feeds.get(name).whole();
     }
 
-    /** How far each feed is known; 0 for one of which not all before is. */
+    /** The position of each feed; 0 for a feed with unknown earlier records. */
     Map<FeedName, Long> positions() {
         Map<FeedName, Long> positions = new EnumMap<>(FeedName.class);
         feeds.forEach((name, feed) -> positions.put(name, position(feed)));
@@ -109,7 +109,7 @@
         return feed.whole() ? feed.next() : 0;
     }
 
-    /** Whether this node wants to be told what others read. */
+    /** Whether this node needs the feed updates of its peers. */
     boolean follows(Instant now) {
         for (FeedName name : active) {
             if (!reader || readers.get(name).cutOff(now, STORE_READ_TIMEOUT)) {
@@ -119,7 +119,7 @@
         return false;
     }
 
-    /** Whether the newest own read of a feed failed. */
+    /** Whether this node's latest read of any active feed has failed. */
     boolean storeLost() {
         for (FeedName name : active) {
             if (readers.get(name).failing()) {
@@ -130,29 +130,29 @@
     }
 
     void onListed(ServingEvent.FeedListed listed, Instant now) {
-        answered(listed.feed());
-        take(
+        onReadSucceeded(listed.feed());
+        apply(
                 listed.feed(),
                 readers.get(listed.feed()).onListed(listed.records(), listed.more(), listed.end(), now),
-                unstable(listed.feed(), now),
+                recentlyFailing(listed.feed(), now),
                 now);
     }
 
     void onRead(ServingEvent.FeedRead read, Instant now) {
         FeedName name = read.feed();
-        answered(name);
+        onReadSucceeded(name);
         long from = feeds.get(name).next();
-        boolean unstable = unstable(name, now);
-        List<FeedRecord> news = take(name, readers.get(name).onRecords(read.batch(), now), unstable, now);
+        boolean recentlyFailing = recentlyFailing(name, now);
+        List<FeedRecord> changes = apply(name, readers.get(name).onRecords(read.batch(), now), recentlyFailing, now);
         if (reader && feeds.get(name).whole()) {
-            passOn(
+            relay(
                     new ServingMessage.FeedUpdate(
-                            name, from, new FeedBatch(feeds.get(name).next(), false, news), unstable),
+                            name, from, new FeedBatch(feeds.get(name).next(), false, changes), recentlyFailing),
                     now);
         }
     }
 
-    private void passOn(ServingMessage.FeedUpdate update, Instant now) {
+    private void relay(ServingMessage.FeedUpdate update, Instant now) {
         for (VmId follower : peers.followers(now)) {
             effects.accept(new ServingEffect.SendToPeer(follower, update));
         }
@@ -163,9 +163,9 @@
     }
 
     /**
-     * A read got no answer, or a refusal.
+     * Records a read that was not answered or was refused.
      *
-     * @return whether it is the first one after reads that were answered
+     * @return whether it is the first one after successful reads
      */
     boolean onFailed(ServingEvent.FeedFailed failed, Instant now) {
         boolean first = !storeLost();
@@ -176,13 +176,13 @@
         return first;
     }
 
-    private void answered(FeedName name) {
+    private void onReadSucceeded(FeedName name) {
         if (!Boolean.TRUE.equals(reachable.put(name, true))) {
             log(Decision.builder("store_regained").field("feed", name));
         }
     }
 
-    /** Another node passes on what it has read. */
+    /** Applies records that a peer has read and relayed. */
     void onUpdate(VmId sender, ServingMessage.FeedUpdate update, Instant now) {
         Feed feed = feeds.get(update.feed());
         if (!feed.whole()) {
@@ -194,12 +194,12 @@
             return;
         }
         readers.get(update.feed()).onRelayed(now);
-        boolean unstable = update.storeUnstable() || unstable(update.feed(), now);
-        take(update.feed(), feed.apply(update.batch()), unstable, now);
+        boolean recentlyFailing = update.storeUnstable() || recentlyFailing(update.feed(), now);
+        apply(update.feed(), feed.apply(update.batch()), recentlyFailing, now);
     }
 
     void onHelp(ServingMessage.FeedHelp help, Instant now) {
-        take(help.feed(), feeds.get(help.feed()).apply(help.batch()), unstable(help.feed(), now), now);
+        apply(help.feed(), feeds.get(help.feed()).apply(help.batch()), recentlyFailing(help.feed(), now), now);
     }
 
     void onAsk(VmId sender, ServingMessage.FeedAsk ask) {
@@ -210,26 +210,26 @@
         }
     }
 
-    private boolean unstable(FeedName name, Instant now) {
+    private boolean recentlyFailing(FeedName name, Instant now) {
         return readers.get(name).failedWithin(now, OUTAGE_HOLD);
     }
 
-    private List<FeedRecord> take(FeedName name, List<FeedRecord> changed, boolean unstable, Instant now) {
-        List<FeedRecord> news = new ArrayList<>();
+    private List<FeedRecord> apply(FeedName name, List<FeedRecord> changed, boolean recentlyFailing, Instant now) {
+        List<FeedRecord> changes = new ArrayList<>();
         for (FeedRecord record : changed) {
-            if (receiver.take(name, record, unstable, now)) {
-                news.add(record);
+            if (handler.onRecord(name, record, recentlyFailing, now)) {
+                changes.add(record);
             }
         }
-        return news;
+        return changes;
     }
 
-    /** Asks peers for what the store does not tell this node. */
+    /** Requests records from peers while this node cannot read the store. */
     void catchUp(Instant now) {
         for (FeedName name : active) {
             long position = position(feeds.get(name));
-            boolean alone = readers.get(name).cutOff(now, STORE_READ_TIMEOUT);
-            if (!alone || now.isBefore(catchUpDue.get(name))) {
+            boolean cutOff = readers.get(name).cutOff(now, STORE_READ_TIMEOUT);
+            if (!cutOff || now.isBefore(catchUpDue.get(name))) {
                 continue;
             }
             Optional<VmId> peer = peers.ahead(name, position, now);
@@ -240,7 +240,7 @@
         }
     }
 
-    /** Reads what is due. */
+    /** Starts the reads that are due. */
     void read(Instant now) {
         for (FeedName name : active) {
             Optional<FeedReader.Read> read = readers.get(name).next(!reader, now);
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/Flow.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/Flow.java
@@ -17,7 +17,7 @@
 import org.wagtaillug.route.Route;
 import org.wagtaillug.route.Step;
 
-/** One request from its arrival to its answer. */
+/** The state of one request, from its arrival to its answer. */
 final class Flow {
     private final RoutedRequest request;
     private final Route route;
@@ -25,31 +25,31 @@
     private final int rank;
     private final Instant arrivedAt;
     private final Instant deadline;
-    private final Instant beginBy;
+    private final Instant firstEventDeadline;
     private final PoolId pool;
     private final Map<Integer, List<StepResult>> results = new HashMap<>();
-    private final Map<Integer, Instant> ordered = new HashMap<>();
+    private final Map<Integer, Instant> orderTimes = new HashMap<>();
     private final Set<Integer> released = new HashSet<>();
-    private final Set<VmId> tried = new HashSet<>();
+    private final Set<VmId> triedUpstreams = new HashSet<>();
     private Optional<Upstream> target = Optional.empty();
     private Instant sentAt = Instant.EPOCH;
     private Optional<Instant> firstEventAt = Optional.empty();
     private Optional<SlowestStep> slowestStep = Optional.empty();
     private Optional<String> lastEvent;
     private int attempt;
-    private int sends;
-    private int ran;
-    private int rebuilds;
-    private boolean reading;
-    private boolean began;
+    private int attempts;
+    private int executions;
+    private int stepRestarts;
+    private boolean readingPrompt;
+    private boolean answerStarted;
     private boolean mayHaveRun;
 
     /**
      * The step that took longest, for the log.
      *
      * @param step its number
-     * @param pool whose servers made it
-     * @param took from its order to its last result
+     * @param pool the pool whose servers executed it
+     * @param took time from its order to its last result
      */
     record SlowestStep(int step, PoolId pool, Duration took) {}
 
@@ -59,10 +59,10 @@
         this.customer = customer;
         this.rank = rank;
         this.arrivedAt = now;
-        Duration patience = request.patience().compareTo(route.timeout()) < 0 ? request.patience() : route.timeout();
-        this.deadline = now.plus(patience);
-        Instant firstEvent = now.plus(route.firstEventWithin());
-        this.beginBy = firstEvent.isBefore(deadline) ? firstEvent : deadline;
+        Duration timeout = request.patience().compareTo(route.timeout()) < 0 ? request.patience() : route.timeout();
+        this.deadline = now.plus(timeout);
+        Instant firstEventLimit = now.plus(route.firstEventWithin());
+        this.firstEventDeadline = firstEventLimit.isBefore(deadline) ? firstEventLimit : deadline;
         this.pool = route.poolOf(request.id());
         this.lastEvent = request.resumesAfter();
     }
@@ -91,21 +91,21 @@
         return deadline;
     }
 
-    /** The caller leaves if its answer has not begun by then. */
-    Instant beginBy() {
-        return beginBy;
+    /** When the request expires if its answer has not started. */
+    Instant firstEventDeadline() {
+        return firstEventDeadline;
     }
 
-    /** Whether its time is over. */
+    /** Whether the first-event deadline or, once the answer has started, the request deadline has passed. */
     boolean expired(Instant now) {
-        return !now.isBefore(began ? deadline : beginBy);
+        return !now.isBefore(answerStarted ? deadline : firstEventDeadline);
     }
 
     PoolId pool() {
         return pool;
     }
 
-    /** The steps that this request has. */
+    /** The steps for which this request has pieces. */
     List<Step> steps() {
         List<Step> steps = new ArrayList<>();
         for (Step step : route.steps()) {
@@ -116,18 +116,18 @@
         return steps;
     }
 
-    /** The steps that can be ordered now: not ordered yet, and everything before them is made. */
-    List<Step> startable() {
-        List<Step> startable = new ArrayList<>();
+    /** The steps that are not ordered yet and whose inputs are complete. */
+    List<Step> readySteps() {
+        List<Step> readySteps = new ArrayList<>();
         for (Step step : steps()) {
-            if (!ordered.containsKey(step.number()) && inputsMade(step)) {
-                startable.add(step);
+            if (!orderTimes.containsKey(step.number()) && inputsComplete(step)) {
+                readySteps.add(step);
             }
         }
-        return startable;
+        return readySteps;
     }
 
-    private boolean inputsMade(Step step) {
+    private boolean inputsComplete(Step step) {
         for (int before : step.after()) {
             if (request.piecesOf(before) > 0 && !results.containsKey(before)) {
                 return false;
@@ -136,58 +136,58 @@
         return true;
     }
 
-    void ordered(Step step, Instant now) {
-        ordered.put(step.number(), now);
+    void recordOrder(Step step, Instant now) {
+        orderTimes.put(step.number(), now);
     }
 
-    /** When a step was ordered; empty if it was not yet. */
+    /** When a step was ordered; empty if it has not been ordered. */
     Optional<Instant> orderedAt(Step step) {
-        return Optional.ofNullable(ordered.get(step.number()));
+        return Optional.ofNullable(orderTimes.get(step.number()));
     }
 
-    void made(int step, List<StepResult> made, Duration took) {
-        results.put(step, made);
+    void complete(int step, List<StepResult> stepResults, Duration took) {
+        results.put(step, stepResults);
         if (slowestStep.isEmpty() || took.compareTo(slowestStep.get().took()) > 0) {
             slowestStep =
                     Optional.of(new SlowestStep(step, route.steps().get(step).pool(), took));
         }
     }
 
-    /** The step that took longest so far. */
+    /** The slowest step so far. */
     Optional<SlowestStep> slowestStep() {
         return slowestStep;
     }
 
-    boolean made(Step step) {
+    boolean completed(Step step) {
         return results.containsKey(step.number());
     }
 
-    /** The steps that no other step follows: their results go to the upstream. */
-    List<Step> lastSteps() {
-        List<Step> last = new ArrayList<>();
+    /** The steps without successors: their results are inputs of the upstream. */
+    List<Step> finalSteps() {
+        List<Step> finalSteps = new ArrayList<>();
         for (Step step : steps()) {
-            if (!followed(step)) {
-                last.add(step);
+            if (!hasSuccessor(step)) {
+                finalSteps.add(step);
             }
         }
-        return last;
+        return finalSteps;
     }
 
-    /** Whether one step is another or comes somewhere before it. */
-    boolean leadsTo(Step step, Step later) {
+    /** Whether a step is the same as, or a direct or indirect predecessor of, another one. */
+    boolean isOrPrecedes(Step step, Step later) {
         if (step.number() == later.number()) {
             return true;
         }
         for (Step next : steps()) {
-            if (next.after().contains(step.number()) && leadsTo(next, later)) {
+            if (next.after().contains(step.number()) && isOrPrecedes(next, later)) {
                 return true;
             }
         }
         return false;
     }
 
-    /** What a step takes: all pieces of all steps before it. */
-    List<StepResult> inputResultsOf(Step step) {
+    /** The inputs of a step: all results of its direct predecessors. */
+    List<StepResult> inputResults(Step step) {
         List<StepResult> inputs = new ArrayList<>();
         for (int before : step.after()) {
             inputs.addAll(results.getOrDefault(before, List.of()));
@@ -195,8 +195,8 @@
         return inputs;
     }
 
-    /** About how much the servers of a step fetch: each piece takes all of its inputs. */
-    long fetchedBytes(Step step) {
+    /** Estimate of the bytes that the servers of a step fetch: each piece fetches all inputs. */
+    long estimatedInputBytes(Step step) {
         long bytes = 0;
         for (int before : step.after()) {
             bytes += route.steps().get(before).resultBytes() * request.piecesOf(before);
@@ -204,22 +204,22 @@
         return bytes * request.piecesOf(step.number());
     }
 
-    /** About how large the results of a step are. */
-    long madeBytes(Step step) {
+    /** Estimate of the total size of the results of a step. */
+    long estimatedResultBytes(Step step) {
         return step.resultBytes() * request.piecesOf(step.number());
     }
 
-    /** Whether the results of a step go to the upstream. */
-    boolean isLast(Step step) {
-        return !followed(step);
+    /** Whether the results of a step are inputs of the upstream. */
+    boolean isFinal(Step step) {
+        return !hasSuccessor(step);
     }
 
-    /** The handles that a step takes. */
-    List<String> inputsOf(Step step) {
-        return inputResultsOf(step).stream().map(StepResult::handle).toList();
+    /** The handles of the inputs of a step. */
+    List<String> inputHandles(Step step) {
+        return inputResults(step).stream().map(StepResult::handle).toList();
     }
 
-    boolean stepsMade() {
+    boolean stepsCompleted() {
         for (Step step : steps()) {
             if (!results.containsKey(step.number())) {
                 return false;
@@ -228,30 +228,30 @@
         return true;
     }
 
-    /** What the request itself takes: all pieces of the steps that no other step follows. */
+    /** The inputs of the upstream: all results of the steps without successors. */
     List<StepResult> inputResults() {
         List<StepResult> inputs = new ArrayList<>();
-        for (Step step : lastSteps()) {
+        for (Step step : finalSteps()) {
             inputs.addAll(results.getOrDefault(step.number(), List.of()));
         }
         return inputs;
     }
 
-    /** About how large that is. */
-    long inputBytes() {
+    /** Estimate of the total size of the inputs of the upstream. */
+    long estimatedInputBytes() {
         long bytes = 0;
-        for (Step step : lastSteps()) {
-            bytes += madeBytes(step);
+        for (Step step : finalSteps()) {
+            bytes += estimatedResultBytes(step);
         }
         return bytes;
     }
 
-    /** The handles that the request itself takes. */
-    List<String> inputs() {
+    /** The handles of the inputs of the upstream. */
+    List<String> inputHandles() {
         return inputResults().stream().map(StepResult::handle).toList();
     }
 
-    private boolean followed(Step step) {
+    private boolean hasSuccessor(Step step) {
         for (Step other : steps()) {
             if (other.after().contains(step.number())) {
                 return true;
@@ -260,33 +260,33 @@
         return false;
     }
 
-    /** Results that only a step took that is made now; they are given out once. */
-    List<StepResult> spentBy(Step made) {
-        List<StepResult> spent = new ArrayList<>();
-        for (int before : made.after()) {
-            boolean last = true;
+    /** The results that no step needs once a given step is completed; each result is returned once. */
+    List<StepResult> releasableAfter(Step completed) {
+        List<StepResult> releasable = new ArrayList<>();
+        for (int before : completed.after()) {
+            boolean unneeded = true;
             for (Step other : steps()) {
-                last &= !other.after().contains(before) || results.containsKey(other.number());
+                unneeded &= !other.after().contains(before) || results.containsKey(other.number());
             }
-            if (last) {
-                spent.addAll(take(before));
+            if (unneeded) {
+                releasable.addAll(release(before));
             }
         }
-        return spent;
+        return releasable;
     }
 
-    /** All results that were not given out yet. */
-    List<StepResult> unspent() {
-        List<StepResult> unspent = new ArrayList<>();
+    /** All results that have not been released, which then count as released. */
+    List<StepResult> releaseAll() {
+        List<StepResult> unreleased = new ArrayList<>();
         for (int step : List.copyOf(results.keySet())) {
-            unspent.addAll(take(step));
+            unreleased.addAll(release(step));
         }
-        return unspent;
+        return unreleased;
     }
 
-    /** Whether the request's own inputs are given up: its makers may have dropped them. */
+    /** Whether inputs of the upstream have been released, so that their servers may have dropped them. */
     boolean inputsReleased() {
-        for (Step step : lastSteps()) {
+        for (Step step : finalSteps()) {
             if (released.contains(step.number())) {
                 return true;
             }
@@ -294,7 +294,7 @@
         return false;
     }
 
-    /** The step that a result is of; -1 if it is of none. */
+    /** The number of the step that produced a result; -1 if there is none. */
     int stepOf(StepResult result) {
         for (Map.Entry<Integer, List<StepResult>> entry : results.entrySet()) {
             if (entry.getValue().contains(result)) {
@@ -304,45 +304,45 @@
         return -1;
     }
 
-    private List<StepResult> take(int step) {
+    private List<StepResult> release(int step) {
         return released.add(step) ? results.getOrDefault(step, List.of()) : List.of();
     }
 
-    /** Starts the steps anew: a result was lost at its maker. How often that has happened. */
-    int rebuild() {
+    /** Resets all steps after a result was lost at its stage server. Returns how often that has happened. */
+    int restartSteps() {
         results.clear();
-        ordered.clear();
+        orderTimes.clear();
         released.clear();
-        rebuilds++;
-        return rebuilds;
+        stepRestarts++;
+        return stepRestarts;
     }
 
-    Set<VmId> tried() {
-        return tried;
+    Set<VmId> triedUpstreams() {
+        return triedUpstreams;
     }
 
     Optional<Upstream> target() {
         return target;
     }
 
-    /** Goes to an upstream, as an attempt that has a number of its own among all of the node. */
-    void send(Upstream upstream, int number, Instant now) {
+    /** Starts an attempt at an upstream; attempt numbers are unique within a run of the node. */
+    void startAttempt(Upstream upstream, int number, Instant now) {
         target = Optional.of(upstream);
-        tried.add(upstream.id());
+        triedUpstreams.add(upstream.id());
         sentAt = now;
-        reading = true;
+        readingPrompt = true;
         attempt = number;
-        sends++;
+        attempts++;
     }
 
-    /** Notes that the upstream does not read the prompt any more; whether it did. */
-    boolean stopReading() {
-        boolean did = reading;
-        reading = false;
-        return did;
+    /** Records that the upstream has stopped reading the prompt. Returns whether it was reading it. */
+    boolean finishReading() {
+        boolean wasReading = readingPrompt;
+        readingPrompt = false;
+        return wasReading;
     }
 
-    void unsend() {
+    void clearTarget() {
         target = Optional.empty();
     }
 
@@ -350,49 +350,49 @@
         return sentAt;
     }
 
-    /** How often it has been sent. */
-    int sends() {
-        return sends;
+    /** The number of attempts so far. */
+    int attempts() {
+        return attempts;
     }
 
     int attempt() {
         return attempt;
     }
 
-    /** Notes that an attempt has or may have run; on how many servers now. */
-    void ranSomewhere() {
-        ran++;
+    /** Records that one more attempt has been, or may have been, executed. */
+    void recordExecution() {
+        executions++;
         mayHaveRun = true;
     }
 
-    int ran() {
-        return ran;
+    int executions() {
+        return executions;
     }
 
     boolean mayHaveRun() {
         return mayHaveRun;
     }
 
-    void began(Instant now) {
-        began = true;
+    void startAnswer(Instant now) {
+        answerStarted = true;
         firstEventAt = Optional.of(now);
     }
 
-    /** When the caller got the head of the answer. */
+    /** When the head of the answer was sent to the caller. */
     Optional<Instant> firstEventAt() {
         return firstEventAt;
     }
 
-    /** Whether the caller has the head of the answer. */
-    boolean answering() {
-        return began;
+    /** Whether the head of the answer was sent to the caller. */
+    boolean answerStarted() {
+        return answerStarted;
     }
 
     Optional<String> lastEvent() {
         return lastEvent;
     }
 
-    void lastEvent(Optional<String> newest) {
-        lastEvent = newest.isPresent() ? newest : lastEvent;
+    void lastEvent(Optional<String> latest) {
+        lastEvent = latest.isPresent() ? latest : lastEvent;
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/FlowLog.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/FlowLog.java
@@ -10,7 +10,7 @@
 import org.wagtaillug.result.ResultCode;
 import org.wagtaillug.serving.ServingEffect.Outcome;
 
-/** The lines of the log about a request, from its arrival to its end. docs/OPERATIONS.md says what each tells. */
+/** Writes the log lines of a request, from its arrival to its end. docs/OPERATIONS.md describes them. */
 final class FlowLog {
     private final Consumer<ServingEffect> effects;
 
@@ -18,7 +18,7 @@
         this.effects = effects;
     }
 
-    /** A request that the configuration does not allow. */
+    /** Logs a request that the configuration does not allow. */
     void denied(RoutedRequest request, ResultCode code, long configuration) {
         write(line("refuse", request.id())
                 .field("code", code)
@@ -26,8 +26,8 @@
                 .field("host", request.host()));
     }
 
-    /** A request that comes when what is left of the node's time does not cover it. */
-    void tooLate(Flow flow, Duration needed, Duration sinceSignal) {
+    /** Logs a request that cannot be answered in the time left until shutdown. */
+    void refusedAtShutdown(Flow flow, Duration needed, Duration sinceSignal) {
         write(line("refuse", flow)
                 .field("code", ResultCode.SHUTTING_DOWN)
                 .field("needed_ms", needed.toMillis())
@@ -61,14 +61,14 @@
                 .field("took_ms", answer.took().toMillis()));
     }
 
-    /** A result was lost: all steps are done again. */
-    void rebuild(Flow flow) {
+    /** Logs a restart of all steps after a result was lost. */
+    void restartSteps(Flow flow) {
         write(line("rebuild", flow));
     }
 
     void send(Flow flow, Upstream upstream, int inFlight, long keptTokens, Instant now) {
         write(line("send", flow)
-                .field("attempt", flow.sends())
+                .field("attempt", flow.attempts())
                 .field("upstream", upstream.id())
                 .field("incarnation", upstream.listing().incarnation())
                 .field("version", upstream.listing().version())
@@ -76,19 +76,19 @@
                 .field("in_flight", inFlight)
                 .field("prompt_tokens", flow.request().promptTokens())
                 .field("kept_tokens", keptTokens)
-                .field("inputs", flow.inputs().size())
+                .field("inputs", flow.inputHandles().size())
                 .field("since_arrival_ms", millis(flow.arrivedAt(), now)));
     }
 
     void answerBegan(Flow flow, Upstream upstream, Instant now) {
         write(line("answer_began", flow)
-                .field("attempt", flow.sends())
+                .field("attempt", flow.attempts())
                 .field("upstream", upstream.id())
                 .field("since_arrival_ms", millis(flow.arrivedAt(), now))
                 .field("since_sent_ms", millis(flow.sentAt(), now)));
     }
 
-    /** Inputs are given up while their request is on its way. */
+    /** Logs the release of inputs while their request is in progress. */
     void release(Flow flow, String reason, int results, Instant now) {
         write(line("release", flow)
                 .field("reason", reason)
@@ -96,10 +96,10 @@
                 .field("since_sent_ms", millis(flow.sentAt(), now)));
     }
 
-    /** An attempt is over. */
+    /** Logs the end of an attempt. */
     void end(Flow flow, Upstream upstream, SendEnd end, Duration took) {
         write(line("end", flow)
-                .field("attempt", flow.sends())
+                .field("attempt", flow.attempts())
                 .field("upstream", upstream.id())
                 .field("end", end)
                 .field("took_ms", took.toMillis()));
@@ -112,7 +112,7 @@
                 .field("content", flow.request().fingerprint())
                 .field("aim_ms", flow.route().aim().toMillis())
                 .field("total_ms", millis(flow.arrivedAt(), now));
-        if (flow.sends() > 0) {
+        if (flow.attempts() > 0) {
             line.field("send_ms", millis(flow.arrivedAt(), flow.sentAt()));
         }
         flow.firstEventAt().ifPresent(at -> line.field("first_event_ms", millis(flow.arrivedAt(), at)));
@@ -126,12 +126,12 @@
         return Duration.between(from, to).toMillis();
     }
 
-    private static Decision.Builder line(String kind, RequestId request) {
-        return Decision.builder(kind).field("request", request);
+    private static Decision.Builder line(String event, RequestId request) {
+        return Decision.builder(event).field("request", request);
     }
 
-    private static Decision.Builder line(String kind, Flow flow) {
-        return line(kind, flow.request().id()).field("route", flow.route().id());
+    private static Decision.Builder line(String event, Flow flow) {
+        return line(event, flow.request().id()).field("route", flow.route().id());
     }
 
     private void write(Decision.Builder line) {
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/FlowSteps.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/FlowSteps.java
@@ -24,10 +24,10 @@
 import org.wagtaillug.route.ServingConfiguration;
 import org.wagtaillug.route.Step;
 
-/** The steps of the requests under way: what is ordered for each, and which results are still needed. */
+/** The steps of the requests in progress: their orders, and the release of results that are no longer needed. */
 final class FlowSteps {
-    /** Below a megabyte the price of crossing failure domains is less than that of waiting for a nearer server. */
-    private static final long WORTH_STAYING_NEAR = 1_000_000;
+    /** Below one megabyte a transfer between failure domains costs less than waiting for a nearer server. */
+    private static final long NEARNESS_THRESHOLD_BYTES = 1_000_000;
 
     private final UpstreamDirectory directory;
     private final StepOrders orders;
@@ -40,10 +40,10 @@
     private final LikelyUpstream likelyUpstream;
     private ServingConfiguration configuration;
 
-    /** Tells where a request is likely to be sent. */
+    /** Predicts the upstream of a request. */
     interface LikelyUpstream {
-        /** The failure domain of the upstream that would be chosen now; empty if there is none. */
-        Optional<DomainId> domainFor(Flow flow, Instant now);
+        /** The failure domain of the upstream that would be chosen now; empty if no upstream is available. */
+        Optional<DomainId> expectedDomain(Flow flow, Instant now);
     }
 
     FlowSteps(
@@ -59,15 +59,15 @@
         this.features = features;
     }
 
-    /** Steps that are ordered from now on are ordered by a new version. */
-    void configure(ServingConfiguration newest) {
-        configuration = newest;
+    /** Sets the configuration for steps that are ordered from now on. */
+    void configure(ServingConfiguration latest) {
+        configuration = latest;
     }
 
-    /** The steps that are to be ordered now. */
+    /** Returns the steps to order now. */
     List<Step> due(Flow flow, Instant now) {
         List<Step> due = new ArrayList<>();
-        for (Step step : flow.startable()) {
+        for (Step step : flow.readySteps()) {
             if (!features.uses(PolicyFeature.TIMELY_BRANCHES) || branches.startsNow(flow, step, now)) {
                 due.add(step);
             }
@@ -75,23 +75,23 @@
         return due;
     }
 
-    /** How long an order of a rank is likely to wait for a pool. */
+    /** The expected waiting time of an order with this rank at a pool. */
     Duration waitOf(PoolId pool, int rank, Instant now) {
         return orders.waitOf(pool, rank, now);
     }
 
-    /** Orders the pieces of a step; false if its pool takes none. */
+    /** Orders the pieces of a step. Returns false if its pool accepts no pieces. */
     boolean order(Flow flow, Step step, Instant now) {
         Optional<BatchContract> contract = configuration.pool(step.pool()).flatMap(PoolProfile::pieces);
         if (contract.isEmpty()) {
             return false;
         }
-        flow.ordered(step, now);
+        flow.recordOrder(step, now);
         OrderId id = orders.nextId();
         orderNumbers
                 .computeIfAbsent(flow.request().id(), any -> new ArrayList<>())
                 .add(id.number());
-        List<String> inputs = flow.inputsOf(step);
+        List<String> inputs = flow.inputHandles(step);
         orders.order(
                 new BatchOrder(
                         id,
@@ -102,26 +102,26 @@
                         inputs.isEmpty() ? flow.request().pieceKey() : Optional.empty(),
                         inputs,
                         step.resultBytes(),
-                        near(flow, step, now),
+                        preferredDomain(flow, step, now),
                         times.urgency(flow, step, configuration, now)),
                 contract.get(),
                 now);
         return true;
     }
 
-    /** Where the servers of a step should be: near what they fetch, or near the upstream that fetches what they make. */
-    private Optional<DomainId> near(Flow flow, Step step, Instant now) {
+    /** The preferred failure domain for a step: near its inputs, or near the upstream that fetches its results. */
+    private Optional<DomainId> preferredDomain(Flow flow, Step step, Instant now) {
         if (!features.uses(PolicyFeature.NEARNESS)) {
             return Optional.empty();
         }
-        if (flow.fetchedBytes(step) >= WORTH_STAYING_NEAR) {
-            return domainOf(flow.inputResultsOf(step));
+        if (flow.estimatedInputBytes(step) >= NEARNESS_THRESHOLD_BYTES) {
+            return domainOf(flow.inputResults(step));
         }
-        boolean large = flow.madeBytes(step) >= WORTH_STAYING_NEAR && flow.isLast(step);
-        return large ? likelyUpstream.domainFor(flow, now) : Optional.empty();
+        boolean large = flow.estimatedResultBytes(step) >= NEARNESS_THRESHOLD_BYTES && flow.isFinal(step);
+        return large ? likelyUpstream.expectedDomain(flow, now) : Optional.empty();
     }
 
-    /** The failure domain where most of the given results lie. */
+    /** The failure domain that holds most of the given results. */
     Optional<DomainId> domainOf(List<StepResult> results) {
         Map<DomainId, Integer> counts = new HashMap<>();
         for (StepResult result : results) {
@@ -130,57 +130,57 @@
         return counts.entrySet().stream().max(Map.Entry.comparingByValue()).map(Map.Entry::getKey);
     }
 
-    /** Whether an order is one that its request still waits for. */
+    /** Whether the request of an order still waits for it. */
     boolean expects(BatchOrder order) {
         return orderNumbers
                 .getOrDefault(order.request(), List.of())
                 .contains(order.id().number());
     }
 
-    /** The pieces of a step are made: what only it took is not needed any more. */
-    void made(Flow flow, StepOrders.Answer answer, List<StepResult> results) {
+    /** Records the results of a step and releases the results that no other step needs. */
+    void onStepCompleted(Flow flow, StepOrders.Answer answer, List<StepResult> results) {
         int step = answer.order().step();
         schedulers.computeIfAbsent(flow.request().id(), id -> new HashMap<>()).put(step, answer.scheduler());
         durations.onMade(flow.route().id(), step, answer.took());
-        flow.made(step, results, answer.took());
-        release(flow, flow.spentBy(flow.route().steps().get(step)));
+        flow.complete(step, results, answer.took());
+        release(flow, flow.releasableAfter(flow.route().steps().get(step)));
     }
 
-    /** Pieces were made for a request that has ended. */
+    /** Releases the results of an order whose request has ended. */
     void releaseUnwanted(StepOrders.Answer answer) {
         if (answer.outcome() instanceof BatchOutcome.Made made) {
             orders.release(answer.scheduler(), made.results());
         }
     }
 
-    /** All results of a request are used; how many were not given up before. */
-    int releaseUnspent(Flow flow) {
-        List<StepResult> unspent = flow.unspent();
-        release(flow, unspent);
-        return unspent.size();
+    /** Releases all results of a request. Returns how many had not been released before. */
+    int releaseAll(Flow flow) {
+        List<StepResult> unreleased = flow.releaseAll();
+        release(flow, unreleased);
+        return unreleased.size();
     }
 
-    /** Nothing that was ordered for a request is needed any more. */
-    void end(Flow flow, Instant now) {
+    /** Withdraws the orders of a request and releases its results. */
+    void endRequest(Flow flow, Instant now) {
         withdraw(flow, now);
-        releaseUnspent(flow);
+        releaseAll(flow);
         schedulers.remove(flow.request().id());
     }
 
-    /** Tells the nodes that keep the accounts; those of different steps may be different ones. */
+    /** Tells the nodes that schedule the steps and track the room of their results; they may differ between steps. */
     private void release(Flow flow, List<StepResult> results) {
         if (results.isEmpty()) {
             return;
         }
         Map<Integer, VmId> byStep = schedulers.getOrDefault(flow.request().id(), Map.of());
-        Map<VmId, List<StepResult>> byFiller = new HashMap<>();
+        Map<VmId, List<StepResult>> byScheduler = new HashMap<>();
         for (StepResult result : results) {
             VmId scheduler = byStep.get(flow.stepOf(result));
             if (scheduler != null) {
-                byFiller.computeIfAbsent(scheduler, any -> new ArrayList<>()).add(result);
+                byScheduler.computeIfAbsent(scheduler, any -> new ArrayList<>()).add(result);
             }
         }
-        byFiller.forEach(orders::release);
+        byScheduler.forEach(orders::release);
     }
 
     private void withdraw(Flow flow, Instant now) {
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/InputRelease.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/InputRelease.java
@@ -8,10 +8,11 @@
 import org.wagtaillug.policy.PolicyFeatures;
 
 /**
- * When the inputs of a request are given up at the servers that made them, whose room other requests wait for.
+ * Decides when the inputs of a request are released at the stage servers that hold them, as other requests wait for
+ * the room.
  *
- * <p>A stream that breaks off and may go on elsewhere has its steps done again then; that is rarer than a request that waits
- * for the room that its inputs would take until its end.
+ * <p>A resumable stream that breaks off has to repeat its steps if its inputs were released. That is rarer than a
+ * request that has to wait for room that would otherwise be held until the end of the stream.
  */
 final class InputRelease {
     private final FlowSteps steps;
@@ -26,39 +27,39 @@
         this.log = log;
     }
 
-    /** The engine has begun its answer: it has fetched the inputs. */
+    /** Releases the inputs, which an engine has fetched when it starts its answer. */
     void onAnswerBegan(Flow flow, Instant now) {
         fetchTimes.onFirstEvent(flow.pool());
-        if (beforeEnd(flow)) {
+        if (releasesEarly(flow)) {
             release(flow, "first event", now);
         }
     }
 
-    /** The engine has not found an input. */
-    void onInputGone(Flow flow) {
+    /** Records that the engine did not find an input. */
+    void onInputMissing(Flow flow) {
         if (flow.inputsReleased()) {
-            fetchTimes.onGone(flow.pool());
+            fetchTimes.onInputMissing(flow.pool());
         }
     }
 
-    /** Gives up the inputs of a request that was sent, if its engine has had time to fetch them. */
+    /** Releases the inputs of a request that was sent, once its engine has had enough time to fetch them. */
     void onTick(Flow flow, Instant now) {
-        boolean waits = flow.target().isPresent() && !flow.answering() && !flow.inputsReleased();
-        if (!waits || !beforeEnd(flow) || !features.uses(PolicyFeature.EARLY_RELEASE)) {
+        boolean awaitingAnswer = flow.target().isPresent() && !flow.answerStarted() && !flow.inputsReleased();
+        if (!awaitingAnswer || !releasesEarly(flow) || !features.uses(PolicyFeature.EARLY_RELEASE)) {
             return;
         }
-        Optional<Duration> fetched = fetchTimes.after(flow.pool(), now);
-        if (fetched.isPresent() && !now.isBefore(flow.sentAt().plus(fetched.get()))) {
+        Optional<Duration> delay = fetchTimes.releaseDelay(flow.pool(), now);
+        if (delay.isPresent() && !now.isBefore(flow.sentAt().plus(delay.get()))) {
             release(flow, "fetched", now);
         }
     }
 
-    private boolean beforeEnd(Flow flow) {
+    private boolean releasesEarly(Flow flow) {
         return !flow.route().resumable() || features.uses(PolicyFeature.RELEASE_OF_RESUMABLE);
     }
 
     private void release(Flow flow, String reason, Instant now) {
-        int released = steps.releaseUnspent(flow);
+        int released = steps.releaseAll(flow);
         if (released > 0) {
             log.release(flow, reason, released, now);
         }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/PathEstimate.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/PathEstimate.java
@@ -12,35 +12,35 @@
 import org.wagtaillug.route.Step;
 
 /**
- * How long a request that comes now is likely to take until its answer begins, through all of its steps.
+ * Estimates the time from the arrival of a request through all of its steps to the start of its answer.
  *
- * <p>Each pool by itself refuses only what comes to it: a request whose last step is far too long in waiting would have its
- * first ones done for nothing, and its caller would hear so late that coming back is of no use.
+ * <p>A single pool refuses only orders that reach it. If only the pool of the last step is overloaded, the earlier
+ * steps would be executed in vain, and the caller would be refused too late for a retry to succeed.
  */
 final class PathEstimate {
     private final StepTimes times;
 
-    /** How long an order of a rank is likely to wait for a pool. */
-    interface Waits {
-        /** Zero if nothing is known of a wait. */
+    /** Expected waiting times of orders. */
+    interface WaitTimes {
+        /** The expected waiting time of an order with this rank at a pool; zero if unknown. */
         Duration of(PoolId pool, int rank);
     }
 
     /**
-     * What a request is likely to take.
+     * An estimated time.
      *
-     * @param waits the part of it that it waits while others go before it
-     * @param whole from now to the first event of the answer
+     * @param waits the part that is spent in queues
+     * @param total the time, from now to the first event of the answer
      */
-    record Path(Duration waits, Duration whole) {
+    record Path(Duration waits, Duration total) {
         private static final Path NONE = new Path(Duration.ZERO, Duration.ZERO);
 
         private Path plus(Duration wait, Duration work) {
-            return new Path(waits.plus(wait), whole.plus(wait).plus(work));
+            return new Path(waits.plus(wait), total.plus(wait).plus(work));
         }
 
-        private Path longer(Path other) {
-            return whole.compareTo(other.whole) >= 0 ? this : other;
+        private Path max(Path other) {
+            return total.compareTo(other.total) >= 0 ? this : other;
         }
     }
 
@@ -48,34 +48,36 @@
         this.times = times;
     }
 
-    Path of(Flow flow, ServingConfiguration configuration, Waits waits, Instant now) {
+    Path estimate(Flow flow, ServingConfiguration configuration, WaitTimes waitTimes, Instant now) {
         Map<Integer, Path> known = new HashMap<>();
         Path longest = Path.NONE;
-        for (Step last : flow.lastSteps()) {
-            longest = longest.longer(to(flow, last, configuration, waits, known));
+        for (Step last : flow.finalSteps()) {
+            longest = longest.max(pathTo(flow, last, configuration, waitTimes, known));
         }
-        return longest.plus(Duration.ZERO, times.engine(flow, now));
+        return longest.plus(Duration.ZERO, times.engineTime(flow, now));
     }
 
-    private Path to(Flow flow, Step step, ServingConfiguration configuration, Waits waits, Map<Integer, Path> known) {
-        Path before = known.get(step.number());
-        if (before != null) {
-            return before;
+    private Path pathTo(
+            Flow flow, Step step, ServingConfiguration configuration, WaitTimes waitTimes, Map<Integer, Path> known) {
+        Path computed = known.get(step.number());
+        if (computed != null) {
+            return computed;
         }
         Path inputs = Path.NONE;
-        for (Step each : flow.steps()) {
-            if (step.after().contains(each.number())) {
-                inputs = inputs.longer(to(flow, each, configuration, waits, known));
+        for (Step predecessor : flow.steps()) {
+            if (step.after().contains(predecessor.number())) {
+                inputs = inputs.max(pathTo(flow, predecessor, configuration, waitTimes, known));
             }
         }
-        Path path = inputs.plus(waits.of(step.pool(), flow.rank()), work(flow, step, configuration));
+        Path path = inputs.plus(waitTimes.of(step.pool(), flow.rank()), workTime(flow, step, configuration));
         known.put(step.number(), path);
         return path;
     }
 
-    private static Duration work(Flow flow, Step step, ServingConfiguration configuration) {
+    private static Duration workTime(Flow flow, Step step, ServingConfiguration configuration) {
         Optional<BatchContract> contract = configuration.pool(step.pool()).flatMap(PoolProfile::pieces);
         int pieces = flow.request().piecesOf(step.number());
-        return contract.map(each -> each.callOf(Math.min(pieces, each.batch()))).orElse(Duration.ZERO);
+        return contract.map(batching -> batching.callOf(Math.min(pieces, batching.batch())))
+                .orElse(Duration.ZERO);
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/PeerContact.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/PeerMembership.java
@@ -23,9 +23,9 @@
 import org.wagtaillug.peer.Roster;
 import org.wagtaillug.route.ServingConfiguration;
 
-/** Keeps this node registered and in contact with the nodes whose duties it depends on. */
-final class PeerContact {
-    /** Nodes of a failure domain that read the store for the others. */
+/** Keeps this node registered as a member and connected to the peers whose duties it depends on. */
+final class PeerMembership {
+    /** Number of nodes in each failure domain that read the store on behalf of the others. */
     private static final int FEED_READERS = 2;
 
     private static final String FEED_DUTY = "feeds";
@@ -37,65 +37,65 @@
     private final Peers peers;
     private final Registration registration;
     private final Consumer<ServingEffect> effects;
-    private final BooleanSupplier takesWork;
+    private final BooleanSupplier acceptsWork;
     private List<PoolId> scheduledPools = List.of();
     private Set<VmId> connected = Set.of();
     private boolean rosterRead;
     private boolean rosterChanged;
-    private boolean rollsOut;
+    private boolean rolloutInProgress;
 
-    PeerContact(
+    PeerMembership(
             ServingSetup setup,
             Roster roster,
             Peers peers,
             Consumer<ServingEffect> effects,
-            BooleanSupplier takesWork) {
+            BooleanSupplier acceptsWork) {
         this.self = setup.self();
         this.member = new Member(setup.self().vm(), setup.domain(), setup.capacity());
         this.roster = roster;
         this.peers = peers;
         this.registration = new Registration(member);
         this.effects = effects;
-        this.takesWork = takesWork;
+        this.acceptsWork = acceptsWork;
     }
 
-    /** The duty of scheduling the calls of a pool. */
+    /** The name of the duty to schedule the calls of a pool. */
     static String scheduling(PoolId pool) {
         return "pool/" + pool;
     }
 
-    void configure(ServingConfiguration newest) {
-        scheduledPools = newest.scheduledPools();
-        depend();
+    void configure(ServingConfiguration latest) {
+        scheduledPools = latest.scheduledPools();
+        updateDuties();
     }
 
-    /** Sets whether there is a rollout under way that a node has to coordinate. */
-    void rollsOut(boolean underWay) {
-        if (underWay != rollsOut) {
-            rollsOut = underWay;
-            depend();
+    /** Sets whether a rollout is in progress, which requires a coordinator. */
+    void setRolloutInProgress(boolean inProgress) {
+        if (inProgress != rolloutInProgress) {
+            rolloutInProgress = inProgress;
+            updateDuties();
         }
     }
 
-    /** The node that coordinates rollouts. */
+    /** Returns the node that coordinates rollouts. */
     VmId rolloutCoordinator(Instant now) {
-        return peers.holder(ROLLOUT_DUTY, takesWork.getAsBoolean(), now);
+        return peers.holder(ROLLOUT_DUTY, acceptsWork.getAsBoolean(), now);
     }
 
-    private void depend() {
+    private void updateDuties() {
         rosterChanged = false;
         Map<String, Duty> duties = new HashMap<>();
         for (PoolId pool : scheduledPools) {
             duties.put(scheduling(pool), Duty.of(roster.ranking(scheduling(pool))));
         }
         duties.put(FEED_DUTY, new Duty(roster.ranking(FEED_DUTY, member.domain()), FEED_READERS, true));
-        if (rollsOut) {
+        if (rolloutInProgress) {
             duties.put(ROLLOUT_DUTY, new Duty(roster.ranking(ROLLOUT_DUTY), 1, true));
         }
         peers.depend(duties);
     }
 
-    /** A record of the membership feed. */
+    /** Processes a record of the membership feed. */
     void onRecord(FeedRecord record, Instant now) {
         VmId id = new VmId(record.key());
         if (record.value().isEmpty()) {
@@ -132,69 +132,71 @@
     }
 
     /**
-     * Whether this node reads the store for others. One that is not registered, or has nobody to follow, reads for itself.
+     * Whether this node reads the store itself: as one of the readers of its failure domain, or because it is not
+     * registered or has nobody to follow.
      */
     boolean readsStore(Instant now) {
         return roster.find(self.vm()).isEmpty()
                 || peers.holders(FEED_DUTY, FEED_READERS, true, now).contains(self.vm());
     }
 
-    /** Renews the registration, the set of watched peers and the heartbeats to them. */
-    void onTick(boolean rosterKnown, Set<VmId> partners, Heartbeats heartbeats, Instant now) {
+    /** Renews the registration, updates the set of monitored peers and sends heartbeats that are due. */
+    void onTick(boolean rosterKnown, Set<VmId> partners, HeartbeatFactory heartbeats, Instant now) {
         rosterRead |= rosterKnown;
         if (rosterChanged) {
-            // Once for all members that join together: a fleet that starts would rank all of them for each one.
-            depend();
+            // Once for all members that join together; otherwise every join during the start of a fleet would
+            // recompute all rankings.
+            updateDuties();
         }
         if (rosterKnown) {
-            // The first reader of each failure domain does this too, so no node has to be watched for it alone.
+            // Expiring members is left to the first feed reader of each failure domain, which is monitored anyway.
             boolean expires =
-                    peers.holder(FEED_DUTY, takesWork.getAsBoolean(), now).equals(self.vm());
+                    peers.holder(FEED_DUTY, acceptsWork.getAsBoolean(), now).equals(self.vm());
             for (Registration.Write write : registration.due(expires, now)) {
                 effects.accept(new ServingEffect.WriteRecord(
                         FeedName.MEMBERSHIP, write.member().value(), write.value()));
             }
         }
-        Set<VmId> wanted = peers.watch(rosterKnown, partners, takesWork.getAsBoolean(), now);
-        if (!wanted.equals(connected)) {
-            connected = wanted;
-            effects.accept(new ServingEffect.PeersChanged(List.copyOf(wanted)));
+        Set<VmId> watched = peers.watch(rosterKnown, partners, acceptsWork.getAsBoolean(), now);
+        if (!watched.equals(connected)) {
+            connected = watched;
+            effects.accept(new ServingEffect.PeersChanged(List.copyOf(watched)));
         }
         List<VmId> due = peers.heartbeatsDue(now);
         if (due.isEmpty()) {
             return;
         }
-        ServingMessage heartbeat = heartbeats.next(false);
+        ServingMessage heartbeat = heartbeats.create(false);
         for (VmId peer : due) {
             effects.accept(new ServingEffect.SendToPeer(peer, heartbeat));
         }
     }
 
-    /** Tells those that follow this node's reads what has changed with it, before the next heartbeat is due. */
-    void tellFollowers(ServingMessage.Heartbeat heartbeat, Instant now) {
+    /** Sends the followers of this node's reads a heartbeat with its new state before the next regular one is due. */
+    void notifyFollowers(ServingMessage.Heartbeat heartbeat, Instant now) {
         for (VmId follower : peers.followers(now)) {
             effects.accept(new ServingEffect.SendToPeer(follower, heartbeat));
         }
     }
 
-    /** Makes the heartbeat that is true now. */
-    interface Heartbeats {
-        /** A heartbeat, or a reply to one. */
-        ServingMessage.Heartbeat next(boolean reply);
+    /** Creates heartbeats with the current state of this node. */
+    interface HeartbeatFactory {
+        /** Creates a heartbeat, or a reply to one. */
+        ServingMessage.Heartbeat create(boolean reply);
     }
 
     /**
-     * A peer sends a heartbeat.
+     * Processes the heartbeat of a peer.
      *
-     * @return whether it is a new run of its VM
+     * @return whether the peer has restarted
      */
-    boolean onHeartbeat(NodeId sender, ServingMessage.Heartbeat heartbeat, Heartbeats heartbeats, Instant now) {
+    boolean onHeartbeat(NodeId sender, ServingMessage.Heartbeat heartbeat, HeartbeatFactory heartbeats, Instant now) {
         boolean restarted = peers.onHeartbeat(sender, heartbeat, now);
         if (restarted) {
             log(Decision.builder("peer_restarted").field("peer", sender));
         }
         if (!heartbeat.reply() && !peers.watches(sender.vm())) {
-            effects.accept(new ServingEffect.SendToPeer(sender.vm(), heartbeats.next(true)));
+            effects.accept(new ServingEffect.SendToPeer(sender.vm(), heartbeats.create(true)));
         }
         return restarted;
     }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/RequestFlows.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/RequestFlows.java
@@ -38,31 +38,36 @@
 import org.wagtaillug.routing.UpstreamLimits;
 import org.wagtaillug.serving.ServingEffect.Outcome;
 
-/** The requests that are under way on this node: what each needs next, and its one final answer. */
+/** The requests in progress on this node: advances each one and gives it exactly one final answer. */
 final class RequestFlows {
     private static final String SHUTTING_DOWN_MESSAGE = "node is shutting down, retry on another node";
 
-    /** Stands in the metrics for requests that match no route. */
+    /** Route label in metrics for requests that match no route. */
     static final String NO_ROUTE = "none";
 
-    /** An upstream may be cold for two of the periods at which it writes its entry. */
-    private static final Duration UNKNOWN_AFTER_FAULT = Duration.ofMillis(2500);
+    /**
+     * An upstream counts as cold for this long after a fault: two of the periods at which it renews its directory
+     * entry.
+     */
+    private static final Duration ASSUMED_COLD_AFTER_FAULT = Duration.ofMillis(2500);
 
     static final Duration DEFAULT_RETRY_AFTER = Duration.ofMillis(500);
 
-    /** A request that no upstream may get now waits for the latency target divided by this, then it is refused. */
+    /**
+     * A request that all upstreams are too busy for waits for its latency target divided by this and is then refused.
+     */
     private static final int ADMISSION_WAIT_DIVISOR = 8;
 
-    /** Sends of one request that did not run, whatever its route allows. */
-    private static final int MAX_SENDS = 3;
+    /** Limit on attempts of one request that was not executed, independent of its route. */
+    private static final int MAX_ATTEMPTS = 3;
 
-    private static final int MAX_REBUILDS = 1;
+    private static final int MAX_STEP_RESTARTS = 1;
 
-    /** Status of an engine that does not find a result that the request names. */
-    private static final int INPUTS_GONE = 409;
+    /** Status of an upstream that does not find an input of the request. */
+    private static final int STATUS_INPUTS_GONE = 409;
 
-    /** A customer's rank goes before a route's. */
-    private static final int RANKS_OF_ROUTES = 100;
+    /** The rank of the customer takes precedence over the rank of the route. */
+    private static final int CUSTOMER_RANK_FACTOR = 100;
 
     private final UpstreamDirectory directory;
     private final UpstreamHealth health;
@@ -73,7 +78,7 @@
     private final ServingSetup.Repeats repeats;
     private final RolloutExchange rollouts;
     private final Shutdown shutdown;
-    private final NeededTimes neededTimes = new NeededTimes();
+    private final RemainingTimeEstimate remainingTime = new RemainingTimeEstimate();
     private final EngineTimes engineTimes = new EngineTimes();
     private final InputRelease inputs;
     private final PathEstimate pathEstimate;
@@ -82,7 +87,7 @@
     private final FlowLog log;
     private final Map<RequestId, Flow> flows = new LinkedHashMap<>();
     private final Map<PoolId, RetryBudget> budgets = new HashMap<>();
-    private final Map<RequestId, Instant> waiting = new LinkedHashMap<>();
+    private final Map<RequestId, Instant> admissionDeadlines = new LinkedHashMap<>();
     private ServingConfiguration configuration;
     private int lastAttempt;
 
@@ -108,7 +113,7 @@
                 features);
         StepTimes times = new StepTimes(engineTimes, features);
         this.pathEstimate = new PathEstimate(times);
-        this.steps = new FlowSteps(directory, orders, times, this::likelyDomain, features);
+        this.steps = new FlowSteps(directory, orders, times, this::expectedDomain, features);
         this.repeats = setup.repeats();
         this.rollouts = rollouts;
         this.shutdown = shutdown;
@@ -117,10 +122,10 @@
         this.inputs = new InputRelease(steps, engineTimes, features, log);
     }
 
-    /** Requests that arrive from now on are handled by a new version. */
-    void configure(ServingConfiguration newest) {
-        configuration = newest;
-        steps.configure(newest);
+    /** Sets the configuration for requests that arrive from now on. */
+    void configure(ServingConfiguration latest) {
+        configuration = latest;
+        steps.configure(latest);
     }
 
     boolean idle() {
@@ -131,33 +136,33 @@
         return flows.size();
     }
 
-    /** Whether there is a request of which no answer has begun. */
-    boolean undecided() {
+    /** Whether any request has no started answer. */
+    boolean awaitingAnswer() {
         for (Flow flow : flows.values()) {
-            if (!flow.answering()) {
+            if (!flow.answerStarted()) {
                 return true;
             }
         }
         return false;
     }
 
-    /** An upstream has started anew under its name. */
+    /** Handles the restart of an upstream. */
     void onRestarted(VmId upstream) {
         chooser.onRestarted(upstream);
     }
 
     void onRequest(RoutedRequest request, Instant now) {
         if (flows.containsKey(request.id())) {
-            refuseUnknown(request, ResultCode.REQUEST_IN_FLIGHT, "a request with this id is under way");
+            refuseUnrouted(request, ResultCode.REQUEST_IN_FLIGHT, "a request with this id is in progress");
             return;
         }
         switch (RouteMatch.of(request, configuration)) {
-            case RouteMatch.Denied denied -> refuseUnknown(request, denied.code(), denied.message());
+            case RouteMatch.Denied denied -> refuseUnrouted(request, denied.code(), denied.message());
             case RouteMatch.Allowed allowed -> begin(request, allowed.route(), allowed.customer(), now);
         }
     }
 
-    private void refuseUnknown(RoutedRequest request, ResultCode code, String message) {
+    private void refuseUnrouted(RoutedRequest request, ResultCode code, String message) {
         log.denied(request, code, configuration.version());
         effects.accept(new ServingEffect.Refuse(request.id(), Refusal.notRun(code, Duration.ZERO, message)));
         if (code != ResultCode.REQUEST_IN_FLIGHT) {
@@ -165,10 +170,10 @@
         }
     }
 
-    /** Refuses a request that comes when what is left of the node's time does not cover it. */
-    private void refuseLate(Flow flow, Duration needed, Instant now) {
+    /** Refuses a request that cannot be answered in the time left until shutdown. */
+    private void refuseAtShutdown(Flow flow, Duration needed, Instant now) {
         RequestId id = flow.request().id();
-        log.tooLate(flow, needed, shutdown.since(now));
+        log.refusedAtShutdown(flow, needed, shutdown.since(now));
         Refusal refusal = Refusal.notRun(ResultCode.SHUTTING_DOWN, Duration.ZERO, SHUTTING_DOWN_MESSAGE);
         effects.accept(new ServingEffect.Refuse(id, refusal));
         effects.accept(new ServingEffect.Finished(id, flow.route().id().value(), Outcome.REFUSED, Duration.ZERO));
@@ -176,35 +181,39 @@
 
     private void begin(RoutedRequest request, Route route, Optional<Customer> customer, Instant now) {
         int customerRank = customer.map(each -> each.rank().orElse(0)).orElse(0);
-        int rank = customerRank * RANKS_OF_ROUTES + route.rank();
+        int rank = customerRank * CUSTOMER_RANK_FACTOR + route.rank();
         Flow flow = new Flow(request, route, customer.map(Customer::id), rank, now);
-        Duration needed = neededTimes.fromArrival(flow, now);
+        Duration needed = remainingTime.fromArrival(flow, now);
         if (!shutdown.enoughFor(needed, now)) {
-            refuseLate(flow, needed, now);
+            refuseAtShutdown(flow, needed, now);
             return;
         }
         flows.put(request.id(), flow);
         budget(flow.pool()).onRequest(now);
         log.accept(flow, configuration.version(), shutdown, now);
-        if (!rejectedByPath(flow, now)) {
+        if (!rejectIfEstimatedLate(flow, now)) {
             advance(flow, now);
         }
     }
 
-    /** Rejects a request that its path would make later than a pool lets a piece wait past its latency target. */
-    private boolean rejectedByPath(Flow flow, Instant now) {
+    /**
+     * Rejects a request whose estimated time through all steps exceeds its latency target by more than a piece may
+     * wait past it in a pool. Returns whether it was rejected.
+     */
+    private boolean rejectIfEstimatedLate(Flow flow, Instant now) {
         if (!features.uses(PolicyFeature.WHOLE_WAY_REFUSAL)) {
             return false;
         }
         PathEstimate.Path estimate =
-                pathEstimate.of(flow, configuration, (pool, rank) -> steps.waitOf(pool, rank, now), now);
-        Duration over = estimate.whole().minus(flow.route().aim()).minus(BatchScheduler.LATE_GRACE);
-        // A request that comes back after its aim must not be refused for having missed it while its pools are free.
-        if (estimate.waits().isZero() || !over.isPositive()) {
+                pathEstimate.estimate(flow, configuration, (pool, rank) -> steps.waitOf(pool, rank, now), now);
+        Duration excess = estimate.total().minus(flow.route().aim()).minus(BatchScheduler.LATE_GRACE);
+        // A retry that comes after its latency target must not be refused for missing it while its pools are idle.
+        if (estimate.waits().isZero() || !excess.isPositive()) {
             return false;
         }
-        String message = "its steps would take " + estimate.whole().toMillis() + " ms";
-        Duration retryAfter = over.compareTo(DEFAULT_RETRY_AFTER) < 0 ? DEFAULT_RETRY_AFTER : over;
+        String message = "estimated time to the first event is "
+                + estimate.total().toMillis() + " ms, beyond the latency target";
+        Duration retryAfter = excess.compareTo(DEFAULT_RETRY_AFTER) < 0 ? DEFAULT_RETRY_AFTER : excess;
         refuse(flow, ResultCode.STEP_OVERLOADED, retryAfter, message, now);
         return true;
     }
@@ -214,9 +223,9 @@
                 pool, id -> new RetryBudget(repeats.window(), repeats.ratio(), repeats.fixed(), roster::sharers));
     }
 
-    /** Orders the steps that can be ordered, or sends the request when all are made. */
+    /** Orders the steps that are due, or sends the request when all steps are completed. */
     private void advance(Flow flow, Instant now) {
-        if (flow.stepsMade()) {
+        if (flow.stepsCompleted()) {
             send(flow, now);
             return;
         }
@@ -225,7 +234,7 @@
                 return;
             }
             if (!steps.order(flow, step, now)) {
-                String message = "the pool \"" + step.pool() + "\" of step " + step.number() + " takes no pieces";
+                String message = "pool \"" + step.pool() + "\" of step " + step.number() + " accepts no pieces";
                 refuse(flow, ResultCode.STEP_FAILED, DEFAULT_RETRY_AFTER, message, now);
                 return;
             }
@@ -242,7 +251,7 @@
         log.step(flow, answer);
         switch (answer.outcome()) {
             case BatchOutcome.Made made -> {
-                steps.made(flow, answer, made.results());
+                steps.onStepCompleted(flow, answer, made.results());
                 advance(flow, now);
             }
             case BatchOutcome.NotMade notMade -> onNotMade(flow, order, notMade, now);
@@ -251,10 +260,10 @@
 
     private void onNotMade(Flow flow, BatchOrder order, BatchOutcome.NotMade notMade, Instant now) {
         if (notMade.reason() == BatchOutcome.Reason.INPUTS_GONE) {
-            rebuild(flow, notMade.retryAfter(), now);
+            restartSteps(flow, notMade.retryAfter(), now);
             return;
         }
-        String message = "step " + order.step() + " was not done: " + notMade.reason();
+        String message = "step " + order.step() + " failed: " + notMade.reason();
         ResultCode code =
                 switch (notMade.reason()) {
                     case OVERLOADED -> ResultCode.STEP_OVERLOADED;
@@ -265,76 +274,88 @@
         refuse(flow, code, notMade.retryAfter(), message, now);
     }
 
-    /** A result was lost at its maker: all steps are done again, once. Without its inputs a request goes nowhere. */
-    private void rebuild(Flow flow, Duration retryAfter, Instant now) {
-        steps.end(flow, now);
-        if (flow.rebuild() > MAX_REBUILDS) {
-            refuse(flow, ResultCode.STEP_FAILED, retryAfter, "the results of its steps were lost again", now);
+    /**
+     * Restarts all steps, at most once, after a result was lost at its stage server. A request is never sent without
+     * its inputs.
+     */
+    private void restartSteps(Flow flow, Duration retryAfter, Instant now) {
+        steps.endRequest(flow, now);
+        if (flow.restartSteps() > MAX_STEP_RESTARTS) {
+            refuse(
+                    flow,
+                    ResultCode.STEP_FAILED,
+                    retryAfter,
+                    "step results were lost again after all steps had been repeated",
+                    now);
             return;
         }
-        if (!shutdown.enoughFor(neededTimes.fromArrival(flow, now), now)) {
+        if (!shutdown.enoughFor(remainingTime.fromArrival(flow, now), now)) {
             refuse(flow, ResultCode.SHUTTING_DOWN, Duration.ZERO, SHUTTING_DOWN_MESSAGE, now);
             return;
         }
-        log.rebuild(flow);
+        log.restartSteps(flow);
         advance(flow, now);
     }
 
     private void send(Flow flow, Instant now) {
         if (flow.inputsReleased()) {
-            // It was sent before, and its engine had had time to fetch them; another one would not find them.
-            rebuild(flow, DEFAULT_RETRY_AFTER, now);
+            // The inputs were released during an earlier attempt; another upstream would not find them.
+            restartSteps(flow, DEFAULT_RETRY_AFTER, now);
             return;
         }
-        if (!shutdown.enoughFor(neededTimes.fromSending(flow, now), now)) {
-            giveUp(flow, ResultCode.SHUTTING_DOWN, SHUTTING_DOWN_MESSAGE, now);
+        if (!shutdown.enoughFor(remainingTime.fromSending(flow, now), now)) {
+            fail(flow, ResultCode.SHUTTING_DOWN, SHUTTING_DOWN_MESSAGE, now);
             return;
         }
         Optional<PoolProfile> pool = configuration.pool(flow.pool());
         if (pool.isEmpty() || directory.usable(flow.pool()).isEmpty()) {
-            giveUp(flow, ResultCode.NO_UPSTREAM, "the pool \"" + flow.pool() + "\" has no upstream", now);
+            fail(flow, ResultCode.NO_UPSTREAM, "pool \"" + flow.pool() + "\" has no available upstream", now);
             return;
         }
-        Set<VmId> tried = flow.tried();
+        Set<VmId> excluded = flow.triedUpstreams();
         UpstreamChooser.Prompt prompt = new UpstreamChooser.Prompt(
                 flow.request().promptParts(),
                 flow.request().promptTokens(),
                 steps.domainOf(flow.inputResults()),
-                flow.inputBytes());
-        Optional<Upstream> chosen = chooser.choose(pool.get(), versions(flow), tried, prompt, now)
-                .or(() -> chooser.choose(pool.get(), rollouts.stableVersions(flow.pool()), tried, prompt, now));
+                flow.estimatedInputBytes());
+        Optional<Upstream> chosen = chooser.choose(pool.get(), versionRule(flow), excluded, prompt, now)
+                .or(() -> chooser.choose(pool.get(), rollouts.stableVersions(flow.pool()), excluded, prompt, now));
         if (chosen.isEmpty()) {
             waitForUpstream(flow, now);
             return;
         }
-        waiting.remove(flow.request().id());
+        admissionDeadlines.remove(flow.request().id());
         send(flow, chosen.get(), prompt, now);
     }
 
-    private VersionRule versions(Flow flow) {
-        return rollouts.rule(flow.pool(), flow.request().id(), flow.sends() == 0);
+    private VersionRule versionRule(Flow flow) {
+        return rollouts.rule(flow.pool(), flow.request().id(), flow.attempts() == 0);
     }
 
-    private Optional<DomainId> likelyDomain(Flow flow, Instant now) {
+    private Optional<DomainId> expectedDomain(Flow flow, Instant now) {
         UpstreamChooser.Prompt prompt = new UpstreamChooser.Prompt(
                 flow.request().promptParts(), flow.request().promptTokens(), Optional.empty(), 0);
         return configuration
                 .pool(flow.pool())
-                .flatMap(pool -> chooser.choose(pool, versions(flow), flow.tried(), prompt, now))
+                .flatMap(pool -> chooser.choose(pool, versionRule(flow), flow.triedUpstreams(), prompt, now))
                 .map(Upstream::domain);
     }
 
     private void waitForUpstream(Flow flow, Instant now) {
-        Duration patience = flow.route().aim().dividedBy(ADMISSION_WAIT_DIVISOR);
-        Instant until = waiting.computeIfAbsent(flow.request().id(), id -> now.plus(patience));
+        Duration maxWait = flow.route().aim().dividedBy(ADMISSION_WAIT_DIVISOR);
+        Instant until = admissionDeadlines.computeIfAbsent(flow.request().id(), id -> now.plus(maxWait));
         if (!now.isBefore(until)) {
-            giveUp(flow, ResultCode.UPSTREAM_FULL, "no upstream of \"" + flow.pool() + "\" may get more", now);
+            fail(
+                    flow,
+                    ResultCode.UPSTREAM_FULL,
+                    "all upstreams of pool \"" + flow.pool() + "\" are at their limits",
+                    now);
         }
     }
 
     private void send(Flow flow, Upstream upstream, UpstreamChooser.Prompt prompt, Instant now) {
         lastAttempt++;
-        flow.send(upstream, lastAttempt, now);
+        flow.startAttempt(upstream, lastAttempt, now);
         health.onStarted(upstream.id(), now);
         warmupLimiter.onSent(upstream.id(), now);
         long keptTokens = chooser.kept(upstream, prompt, now);
@@ -346,18 +367,19 @@
                 upstream.listing(),
                 flow.deadline(),
                 flow.customer(),
-                flow.inputs(),
+                flow.inputHandles(),
                 flow.lastEvent(),
                 stream,
-                mayGoElsewhere(flow),
+                retryableElsewhere(flow),
                 stream || flow.route().kind() == RouteKind.ONCE)));
         log.send(flow, upstream, health.inFlight(upstream.id()), keptTokens, now);
     }
 
-    /** Whether there is another upstream that may have the request if the one that it was sent to falls silent. */
-    private boolean mayGoElsewhere(Flow flow) {
-        boolean attemptsLeft = flow.ran() + 1 < flow.route().attempts();
-        boolean untried = directory.usable(flow.pool()).size() > flow.tried().size();
+    /** Whether another upstream may get the request if the one that it is being sent to stops responding. */
+    private boolean retryableElsewhere(Flow flow) {
+        boolean attemptsLeft = flow.executions() + 1 < flow.route().attempts();
+        boolean untried =
+                directory.usable(flow.pool()).size() > flow.triedUpstreams().size();
         return flow.route().repeatable() && attemptsLeft && untried;
     }
 
@@ -366,21 +388,21 @@
         if (flow == null || flow.attempt() != attempt || flow.target().isEmpty()) {
             return;
         }
-        if (!flow.answering()) {
-            flow.began(now);
-            flow.ranSomewhere();
-            sample(flow, false, now);
+        if (!flow.answerStarted()) {
+            flow.startAnswer(now);
+            flow.recordExecution();
+            addSample(flow, false, now);
         }
-        stopReading(flow);
+        finishReading(flow);
         log.answerBegan(flow, flow.target().get(), now);
         health.onProgress(flow.target().get().id(), now);
         engineTimes.onFirstEvent(flow.pool(), flow.request().promptTokens(), Duration.between(flow.sentAt(), now), now);
         inputs.onAnswerBegan(flow, now);
     }
 
-    /** The engine has read the prompt, or will not. */
-    private void stopReading(Flow flow) {
-        if (flow.stopReading()) {
+    /** Records that the upstream has finished reading the prompt, or will not read it. */
+    private void finishReading(Flow flow) {
+        if (flow.finishReading()) {
             flow.target()
                     .ifPresent(upstream ->
                             chooser.onRead(upstream.id(), flow.request().promptTokens()));
@@ -393,16 +415,16 @@
             return;
         }
         Upstream upstream = flow.target().get();
-        stopReading(flow);
+        finishReading(flow);
         if (end instanceof SendEnd.Failed || end instanceof SendEnd.Broken) {
-            sample(flow, true, now);
+            addSample(flow, true, now);
         }
-        flow.unsend();
-        note(flow, upstream, end, now);
+        flow.clearTarget();
+        recordEnd(flow, upstream, end, now);
         switch (end) {
             case SendEnd.Passed ignored -> onPassed(flow, now);
-            case SendEnd.GivenUp ignored -> finish(flow, Outcome.LEFT, "given up", now);
-            case SendEnd.Unsent ignored -> sendElsewhere(flow, now);
+            case SendEnd.GivenUp ignored -> finish(flow, Outcome.LEFT, "attempt cancelled", now);
+            case SendEnd.Unsent ignored -> retryElsewhere(flow, now);
             case SendEnd.NotRun notRun -> onNotRun(flow, notRun.status(), now);
             case SendEnd.Failed ignored -> onFailed(flow, now);
             case SendEnd.Broken broken -> onBroken(flow, broken, now);
@@ -410,18 +432,18 @@
     }
 
     private void onPassed(Flow flow, Instant now) {
-        neededTimes.onAnswered(flow, now);
+        remainingTime.onAnswered(flow, now);
         finish(flow, Outcome.PASSED, "passed", now);
     }
 
-    /** What a request saw tells a version that is rolled out from the one before. */
-    private void sample(Flow flow, boolean failed, Instant now) {
+    /** Adds a sample for the comparison of candidate and stable versions in a rollout. */
+    private void addSample(Flow flow, boolean failed, Instant now) {
         flow.target()
                 .ifPresent(upstream -> rollouts.sample(
                         upstream.listing(), flow.route().id().value(), failed, Duration.between(flow.sentAt(), now)));
     }
 
-    private void note(Flow flow, Upstream upstream, SendEnd end, Instant now) {
+    private void recordEnd(Flow flow, Upstream upstream, SendEnd end, Instant now) {
         Duration took = Duration.between(flow.sentAt(), now);
         Optional<PoolId> pool = Optional.of(flow.pool());
         switch (end) {
@@ -429,46 +451,46 @@
             case SendEnd.Failed ignored -> health.onEnded(upstream.id(), pool, took, true, now);
             case SendEnd.GivenUp ignored -> health.onCancelled(upstream.id());
             case SendEnd.NotRun ignored -> health.onCancelled(upstream.id());
-            case SendEnd.Unsent ignored -> fault(upstream, took, now);
-            case SendEnd.Broken ignored -> fault(upstream, took, now);
+            case SendEnd.Unsent ignored -> recordFault(upstream, took, now);
+            case SendEnd.Broken ignored -> recordFault(upstream, took, now);
         }
         log.end(flow, upstream, end, took);
     }
 
-    /** The upstream may have started anew, and be cold until it says otherwise. */
-    private void fault(Upstream upstream, Duration took, Instant now) {
+    /** After a fault the upstream may have restarted and counts as cold until its directory entry says otherwise. */
+    private void recordFault(Upstream upstream, Duration took, Instant now) {
         health.onEnded(upstream.id(), Optional.empty(), took, false, now);
-        directory.onFault(upstream.id(), now.plus(UNKNOWN_AFTER_FAULT));
+        directory.onFault(upstream.id(), now.plus(ASSUMED_COLD_AFTER_FAULT));
     }
 
     private void onNotRun(Flow flow, int status, Instant now) {
-        if (status == INPUTS_GONE && !flow.steps().isEmpty()) {
-            inputs.onInputGone(flow);
-            rebuild(flow, DEFAULT_RETRY_AFTER, now);
+        if (status == STATUS_INPUTS_GONE && !flow.steps().isEmpty()) {
+            inputs.onInputMissing(flow);
+            restartSteps(flow, DEFAULT_RETRY_AFTER, now);
             return;
         }
-        sendElsewhere(flow, now);
+        retryElsewhere(flow, now);
     }
 
-    /** Nothing has run: another upstream may get the request. */
-    private void sendElsewhere(Flow flow, Instant now) {
-        boolean again = flow.sends() < MAX_SENDS && budget(flow.pool()).spend(now);
-        if (again) {
+    /** Retries a request that was not executed at another upstream. */
+    private void retryElsewhere(Flow flow, Instant now) {
+        boolean retry = flow.attempts() < MAX_ATTEMPTS && budget(flow.pool()).spend(now);
+        if (retry) {
             send(flow, now);
             return;
         }
-        giveUp(flow, ResultCode.UPSTREAM_FULL, "no upstream of \"" + flow.pool() + "\" took the request", now);
+        fail(flow, ResultCode.UPSTREAM_FULL, "no upstream of pool \"" + flow.pool() + "\" accepted the request", now);
     }
 
     private void onFailed(Flow flow, Instant now) {
-        if (flow.answering()) {
-            giveUp(flow, ResultCode.ATTEMPTS_FAILED, "the upstream that was to go on failed", now);
+        if (flow.answerStarted()) {
+            fail(flow, ResultCode.ATTEMPTS_FAILED, "the upstream that was to resume the stream failed", now);
             return;
         }
-        flow.ranSomewhere();
-        if (!mayRepeat(flow, now)) {
+        flow.recordExecution();
+        if (!takeRetry(flow, now)) {
             effects.accept(new ServingEffect.PassFailure(flow.request().id()));
-            finish(flow, Outcome.FAILED, "failure passed on", now);
+            finish(flow, Outcome.FAILED, "upstream failure forwarded", now);
             return;
         }
         send(flow, now);
@@ -476,28 +498,32 @@
 
     private void onBroken(Flow flow, SendEnd.Broken broken, Instant now) {
         flow.lastEvent(broken.lastEvent());
-        if (!flow.answering()) {
-            flow.ranSomewhere();
-        }
-        if (!mayRepeat(flow, now)) {
-            giveUp(flow, ResultCode.OUTCOME_UNKNOWN, "the upstream broke off: " + broken.reason(), now);
+        if (!flow.answerStarted()) {
+            flow.recordExecution();
+        }
+        if (!takeRetry(flow, now)) {
+            fail(
+                    flow,
+                    ResultCode.OUTCOME_UNKNOWN,
+                    "the upstream failed before its answer was complete: " + broken.reason(),
+                    now);
             return;
         }
         send(flow, now);
     }
 
-    /** Whether a request may go to another upstream after one that may have run it; takes a repeat from the budget. */
-    private boolean mayRepeat(Flow flow, Instant now) {
+    /** Whether a request that may have been executed can be retried; takes a retry from the budget if so. */
+    private boolean takeRetry(Flow flow, Instant now) {
         boolean allowed = flow.route().repeatable()
-                && flow.ran() < flow.route().attempts()
+                && flow.executions() < flow.route().attempts()
                 && now.isBefore(flow.deadline())
-                && shutdown.enoughFor(neededTimes.fromSending(flow, now), now);
+                && shutdown.enoughFor(remainingTime.fromSending(flow, now), now);
         return allowed && budget(flow.pool()).spend(now);
     }
 
-    /** Ends a request that cannot be served, as truly as its state allows. */
-    private void giveUp(Flow flow, ResultCode code, String message, Instant now) {
-        if (flow.answering()) {
+    /** Ends a request that cannot be served, with the answer that its state allows: cut, unknown outcome or not run. */
+    private void fail(Flow flow, ResultCode code, String message, Instant now) {
+        if (flow.answerStarted()) {
             effects.accept(new ServingEffect.Cut(flow.request().id()));
             finish(flow, Outcome.LOST, "cut: " + message, now);
             return;
@@ -514,24 +540,27 @@
         refuse(flow, code, retryAfter, message, now);
     }
 
-    /** Says that a request has not run; only for one that was sent nowhere, or only to upstreams that did not run it. */
+    /**
+     * Refuses a request as not run; applies only if no upstream has received it or all of them reported that they did
+     * not run it.
+     */
     private void refuse(Flow flow, ResultCode code, Duration retryAfter, String message, Instant now) {
-        if (flow.answering() || flow.mayHaveRun()) {
-            giveUp(flow, code, message, now);
+        if (flow.answerStarted() || flow.mayHaveRun()) {
+            fail(flow, code, message, now);
             return;
         }
         effects.accept(new ServingEffect.Refuse(flow.request().id(), Refusal.notRun(code, retryAfter, message)));
         finish(flow, Outcome.REFUSED, "refused " + code + ": " + message, now);
     }
 
-    private void finish(Flow flow, Outcome outcome, String how, Instant now) {
+    private void finish(Flow flow, Outcome outcome, String reason, Instant now) {
         RequestId id = flow.request().id();
-        steps.end(flow, now);
+        steps.endRequest(flow, now);
         flows.remove(id);
-        waiting.remove(id);
+        admissionDeadlines.remove(id);
         Duration took = Duration.between(flow.arrivedAt(), now);
         effects.accept(new ServingEffect.Finished(id, flow.route().id().value(), outcome, took));
-        log.finish(flow, outcome, how, now);
+        log.finish(flow, outcome, reason, now);
     }
 
     void onCallerLeft(RequestId id, Instant now) {
@@ -539,44 +568,45 @@
         if (flow == null) {
             return;
         }
-        endSend(flow, now);
-        finish(flow, Outcome.LEFT, "the caller left", now);
+        cancelSend(flow, now);
+        finish(flow, Outcome.LEFT, "caller disconnected", now);
     }
 
-    private void endSend(Flow flow, Instant now) {
+    private void cancelSend(Flow flow, Instant now) {
         if (flow.target().isPresent()) {
             effects.accept(new ServingEffect.GiveUpSend(flow.request().id(), flow.attempt()));
-            stopReading(flow);
-            if (!flow.answering() && now.isAfter(flow.sentAt().plus(flow.route().aim()))) {
-                // An upstream that lets callers wait until they leave has failed them.
-                sample(flow, true, now);
+            finishReading(flow);
+            if (!flow.answerStarted()
+                    && now.isAfter(flow.sentAt().plus(flow.route().aim()))) {
+                // An upstream that keeps a caller waiting past the latency target until it leaves counts as failed.
+                addSample(flow, true, now);
             }
             health.onCancelled(flow.target().get().id());
-            flow.unsend();
+            flow.clearTarget();
         }
     }
 
     /**
-     * Refuses what was sent nowhere and could not be answered any more before the process ends: another node may still
-     * serve it.
+     * Refuses requests that are at no upstream and can no longer be answered before the shutdown: another node may
+     * still serve them.
      */
-    void refuseOverdue(Instant now) {
+    void refuseUnanswerable(Instant now) {
         for (Flow flow : List.copyOf(flows.values())) {
-            boolean unsent = flow.target().isEmpty() && !flow.answering();
-            if (unsent && !shutdown.enoughFor(neededTimes.fromSending(flow, now), now)) {
+            boolean unsent = flow.target().isEmpty() && !flow.answerStarted();
+            if (unsent && !shutdown.enoughFor(remainingTime.fromSending(flow, now), now)) {
                 refuse(flow, ResultCode.SHUTTING_DOWN, Duration.ZERO, SHUTTING_DOWN_MESSAGE, now);
             }
         }
     }
 
     /**
-     * Gives everything its last answer. What is left open would end as a closed connection, of which a caller cannot tell
-     * whether its request has run.
+     * Gives every remaining request its final answer. Otherwise the connections would be closed without one, and
+     * callers could not tell whether their requests were executed.
      */
-    void endAll(Instant now) {
+    void failAll(Instant now) {
         for (Flow flow : List.copyOf(flows.values())) {
-            abandonSend(flow, now);
-            giveUp(flow, ResultCode.SHUTTING_DOWN, "node ends before the answer has come", now);
+            cancelAttempt(flow, now);
+            fail(flow, ResultCode.SHUTTING_DOWN, "node shuts down before the answer is complete", now);
         }
     }
 
@@ -586,12 +616,12 @@
                 onDeadline(flow, now);
                 continue;
             }
-            if (!flow.stepsMade()) {
+            if (!flow.stepsCompleted()) {
                 advance(flow, now);
             }
             inputs.onTick(flow, now);
         }
-        for (RequestId id : List.copyOf(waiting.keySet())) {
+        for (RequestId id : List.copyOf(admissionDeadlines.keySet())) {
             Flow flow = flows.get(id);
             if (flow != null && flow.target().isEmpty()) {
                 send(flow, now);
@@ -599,31 +629,32 @@
         }
     }
 
-    /** Ends the attempt that is under way, which may have run; whether there was one. */
-    private boolean abandonSend(Flow flow, Instant now) {
+    /** Cancels the current attempt, which may have been executed. Returns whether there was one. */
+    private boolean cancelAttempt(Flow flow, Instant now) {
         boolean sent = flow.target().isPresent();
         if (sent && !flow.mayHaveRun()) {
-            flow.ranSomewhere();
+            flow.recordExecution();
         }
-        endSend(flow, now);
+        cancelSend(flow, now);
         return sent;
     }
 
     private void onDeadline(Flow flow, Instant now) {
-        if (flow.answering()) {
-            // A stream that has gone on for so long says what another may take. An upstream that hangs says nothing.
-            neededTimes.onAnswered(flow, now);
+        if (flow.answerStarted()) {
+            // A stream that lasted until its deadline is a valid duration sample; an upstream that hangs without an
+            // answer is not.
+            remainingTime.onAnswered(flow, now);
         }
-        boolean sent = abandonSend(flow, now);
+        boolean sent = cancelAttempt(flow, now);
         if (sent || flow.mayHaveRun()) {
-            giveUp(flow, ResultCode.DEADLINE_EXCEEDED, "the deadline has passed", now);
+            fail(flow, ResultCode.DEADLINE_EXCEEDED, "the deadline has passed", now);
             return;
         }
         refuse(
                 flow,
                 ResultCode.DEADLINE_CANNOT_BE_MET,
                 Duration.ZERO,
-                "the deadline has passed before it could run",
+                "the deadline has passed before the request was executed",
                 now);
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/RolloutCallGate.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/RolloutCallGate.java
@@ -13,7 +13,9 @@
 import org.wagtaillug.rollout.RolloutOrder;
 import org.wagtaillug.rollout.Rollouts;
 
-/** Calls to the servers of a stage pool that is rolled out: the new version's share of the calls is kept by counting. */
+/**
+ * Limits the calls to candidate servers of a stage pool during a rollout, by counting calls against the canary share.
+ */
 final class RolloutCallGate implements CallGate {
     private static final int PERCENT = 100;
 
@@ -23,21 +25,21 @@
     private final BooleanSupplier fresh;
     private final Map<Long, Counts> counts = new HashMap<>();
 
-    /** Takes in what a call saw at a server. */
+    /** Receives the results of calls. */
     interface Samples {
-        /** A call of a kind has ended. */
+        /** Adds the result of a call; calls of the same kind are compared. */
         void add(Listing server, String kind, boolean failed, Duration took);
     }
 
     private static final class Counts {
-        private long all;
+        private long total;
         private long candidate;
     }
 
     /**
-     * A gate for the rollouts that a node knows of.
+     * Creates a gate for the rollouts that a node knows of.
      *
-     * @param fresh whether the node hears of each new status
+     * @param fresh whether the node receives every new rollout status
      */
     RolloutCallGate(Rollouts rollouts, UpstreamDirectory directory, Samples samples, BooleanSupplier fresh) {
         this.rollouts = rollouts;
@@ -46,8 +48,8 @@
         this.fresh = fresh;
     }
 
-    /** The rollout under way of a server's pool. */
-    private Optional<RolloutOrder> underWay(PoolId pool) {
+    /** The rollout in progress of a pool. */
+    private Optional<RolloutOrder> inProgress(PoolId pool) {
         return rollouts.share(pool).flatMap(share -> rollouts.order(pool));
     }
 
@@ -57,38 +59,38 @@
 
     @Override
     public boolean allows(Listing server) {
-        Optional<RolloutOrder> order = underWay(server.pool());
+        Optional<RolloutOrder> order = inProgress(server.pool());
         if (order.isEmpty()) {
             return rollouts.rule(server.pool(), false).allows(server.version());
         }
         double share = rollouts.share(server.pool()).orElse(0.0);
         boolean candidate = server.version().equals(order.get().version());
         if (share >= 1) {
-            VersionRule newest = new VersionRule.Only(order.get().version());
-            return candidate || directory.usable(server.pool(), newest).isEmpty();
+            VersionRule candidateOnly = new VersionRule.Only(order.get().version());
+            return candidate || directory.usable(server.pool(), candidateOnly).isEmpty();
         }
         Counts counted = counts(order.get());
-        boolean withinShare = counted.candidate + 1 <= share * (counted.all + 1);
+        boolean withinShare = counted.candidate + 1 <= share * (counted.total + 1);
         return !candidate || (fresh.getAsBoolean() && withinShare);
     }
 
     @Override
     public boolean preferred(Listing server) {
-        return underWay(server.pool())
+        return inProgress(server.pool())
                 .filter(order -> order.version().equals(server.version()))
                 .isPresent();
     }
 
     @Override
     public void onCall(Listing server) {
-        underWay(server.pool()).ifPresent(order -> {
+        inProgress(server.pool()).ifPresent(order -> {
             Counts counted = counts(order);
-            counted.all++;
+            counted.total++;
             counted.candidate += server.version().equals(order.version()) ? 1 : 0;
         });
     }
 
-    /** Calls differ in size: their times are compared as parts of what the contract says. */
+    /** Calls differ in size, so their times are compared as a percentage of the expected time by the contract. */
     @Override
     public void onCallEnded(Listing server, boolean failed, Duration took, Duration expected) {
         Duration relative = took.multipliedBy(PERCENT).dividedBy(Math.max(1, expected.toMillis()));
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/RolloutExchange.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/RolloutExchange.java
@@ -32,22 +32,22 @@
 import org.wagtaillug.rollout.Rollouts;
 
 /**
- * This node's part in rollouts: its requests follow the share that the store holds, it reports what they saw, and it
- * coordinates if that is its duty.
+ * The part of this node in rollouts: it routes requests by the canary share from the store, reports their results to
+ * the coordinator, and coordinates if that is its duty.
  */
 final class RolloutExchange {
     private static final Duration REPORT_INTERVAL = Duration.ofMillis(150);
 
-    /** Samples that are kept for a node that takes over the coordination. */
+    /** Samples that are retained for a node that takes over the coordination. */
     private static final int MAX_SAMPLES = 512;
 
-    /** Samples of one report. */
+    /** Maximum number of samples in one report. */
     private static final int MAX_REPORTED = 256;
 
-    /** Odd, so that ids that differ in their last character only are not drawn together. */
-    private static final int SPREAD = 0x9E3779B1;
+    /** Hash multiplier; odd, so that ids that differ only in their last character get different canary decisions. */
+    private static final int HASH_MULTIPLIER = 0x9E3779B1;
 
-    private static final double DRAWS = 4294967296.0;
+    private static final double HASH_RANGE = 4294967296.0;
 
     private final ServingSetup setup;
     private final UpstreamDirectory directory;
@@ -60,27 +60,27 @@
     private boolean fresh;
 
     private static final class Samples {
-        private final Deque<RolloutSample> kept = new ArrayDeque<>();
+        private final Deque<RolloutSample> retained = new ArrayDeque<>();
         private int unreported;
         private Optional<VmId> receiver = Optional.empty();
         private Instant reportDue = Instant.EPOCH;
 
         private void add(RolloutSample sample) {
-            kept.addLast(sample);
+            retained.addLast(sample);
             unreported++;
-            if (kept.size() > MAX_SAMPLES) {
-                kept.removeFirst();
+            if (retained.size() > MAX_SAMPLES) {
+                retained.removeFirst();
             }
-            unreported = Math.min(unreported, kept.size());
+            unreported = Math.min(unreported, retained.size());
         }
 
-        /** What a receiver has not been told; a new one is told everything. */
-        private List<RolloutSample> take(VmId newest) {
-            if (!receiver.equals(Optional.of(newest))) {
-                receiver = Optional.of(newest);
-                unreported = kept.size();
+        /** Returns the samples that a receiver has not received; a new receiver gets all retained ones. */
+        private List<RolloutSample> takeUnreported(VmId currentReceiver) {
+            if (!receiver.equals(Optional.of(currentReceiver))) {
+                receiver = Optional.of(currentReceiver);
+                unreported = retained.size();
             }
-            List<RolloutSample> all = new ArrayList<>(kept);
+            List<RolloutSample> all = new ArrayList<>(retained);
             List<RolloutSample> taken = all.subList(all.size() - unreported, all.size());
             unreported = 0;
             return taken;
@@ -112,7 +112,7 @@
         log(Decision.builder("rollout_withdrawn").field("pool", pool).field("offset", record.offset()));
     }
 
-    /** A record of the rollouts feed. */
+    /** Processes a record of the rollouts feed. */
     void onRecord(FeedRecord record, Instant now) {
         switch (setup.decoder().rollout(record)) {
             case RolloutItem.Reported reported -> {
@@ -134,43 +134,43 @@
         }
     }
 
-    /** Whether the status of a rollout has to be known. */
-    boolean underWay() {
+    /** Whether a rollout is in progress, so that its status must be known. */
+    boolean inProgress() {
         return !rollouts.open().isEmpty();
     }
 
     /**
-     * The versions that a request may go to.
+     * The versions that a request may be sent to.
      *
-     * @param first whether it was sent nowhere yet; what goes elsewhere after that is not sent to a candidate version
+     * @param first whether this is the first attempt; retries are not sent to a candidate version
      */
     VersionRule rule(PoolId pool, RequestId request, boolean first) {
         double share = rollouts.share(pool).orElse(0.0);
-        boolean everything = share >= 1;
-        boolean canary = first && fresh && draw(request) < share;
-        VersionRule rule = rollouts.rule(pool, everything || canary);
-        // Candidates that take nothing now must not hold a request up.
+        boolean fullyRolledOut = share >= 1;
+        boolean canary = first && fresh && hashFraction(request) < share;
+        VersionRule rule = rollouts.rule(pool, fullyRolledOut || canary);
+        // A request must not wait for candidates that are unavailable.
         return directory.usable(pool, rule).isEmpty() ? stableVersions(pool) : rule;
     }
 
-    /** The versions that need no proof. */
+    /** The stable versions. */
     VersionRule stableVersions(PoolId pool) {
         return rollouts.rule(pool, false);
     }
 
-    private static double draw(RequestId request) {
-        return Integer.toUnsignedLong(request.value().hashCode() * SPREAD) / DRAWS;
+    private static double hashFraction(RequestId request) {
+        return Integer.toUnsignedLong(request.value().hashCode() * HASH_MULTIPLIER) / HASH_RANGE;
     }
 
-    /** Which stage servers may be called, and what came of the calls. */
+    /** Decides which stage servers may be called, and collects the results of calls. */
     CallGate callGate() {
         return callGate;
     }
 
     /**
-     * A request has seen something at an upstream.
+     * Adds the result of a request at an upstream.
      *
-     * @param kind requests of one kind are compared with one another
+     * @param kind requests of the same kind are compared
      */
     void sample(Listing upstream, String kind, boolean failed, Duration took) {
         Optional<RolloutOrder> order = rollouts.order(upstream.pool());
@@ -182,7 +182,7 @@
                 .add(new RolloutSample(kind, candidate, failed, took));
     }
 
-    /** Another node reports what its requests saw. */
+    /** Processes the report of another node. */
     void onReport(ServingMessage.RolloutReport report, Instant now) {
         coordinator.onSamples(report.order(), report.samples(), now);
     }
@@ -190,9 +190,9 @@
     /**
      * Reports to the coordinator, or coordinates.
      *
-     * @param holder the node that coordinates
-     * @param statusFresh whether this node hears of each new status
-     * @param position the end of the rollouts feed as far as it is known
+     * @param holder the coordinator
+     * @param statusFresh whether this node receives every new rollout status
+     * @param position the known end of the rollouts feed
      */
     void onTick(VmId holder, boolean statusFresh, long position, Instant now) {
         fresh = statusFresh;
@@ -206,12 +206,12 @@
     }
 
     private void report(RolloutOrder order, VmId holder, boolean coordinates, Instant now) {
-        Samples own = samples.computeIfAbsent(order.id(), id -> new Samples());
-        if (now.isBefore(own.reportDue)) {
+        Samples pending = samples.computeIfAbsent(order.id(), id -> new Samples());
+        if (now.isBefore(pending.reportDue)) {
             return;
         }
-        own.reportDue = now.plus(REPORT_INTERVAL);
-        List<RolloutSample> taken = own.take(holder);
+        pending.reportDue = now.plus(REPORT_INTERVAL);
+        List<RolloutSample> taken = pending.takeUnreported(holder);
         if (coordinates) {
             coordinator.onSamples(order.id(), taken, now);
             return;
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/Serving.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/Serving.java
@@ -25,23 +25,29 @@
 import org.wagtaillug.route.ServingConfiguration;
 
 /**
- * One node that routes by host and path: every decision, driven by events. All of it is used from one thread.
+ * The decision logic of one node that routes by host and path: an event-driven state machine without I/O. Not
+ * thread-safe; all calls must come from one thread.
  *
  * <pre>{@code
  * List<ServingEffect> effects = serving.handle(new ServingEvent.RequestArrived(request), now);
  * }</pre>
  */
 public final class Serving {
-    /** While batches are scheduled here: releases, full servers and late items wait for a tick. */
+    /**
+     * Tick interval while this node schedules batches; releases, full servers and overdue items are handled on ticks.
+     */
     private static final Duration SCHEDULING_TICK = Duration.ofMillis(20);
 
-    /** While requests or the node's own start wait for something that only time brings. */
+    /** Tick interval while requests, or the startup of the node itself, wait for a timer. */
     private static final Duration REQUEST_TICK = Duration.ofMillis(50);
 
-    /** Heartbeats, reads of feeds and deadlines of streams under way bear a delay of this length. */
+    /** Tick interval otherwise. Heartbeats, feed reads and deadlines of open streams tolerate this delay. */
     private static final Duration IDLE_TICK = Duration.ofMillis(200);
 
-    /** Heartbeats, the watched peers and the feeds are looked after no more often, however short the ticks are. */
+    /**
+     * Minimum interval between two runs of heartbeats, peer monitoring and feed maintenance, however short the ticks
+     * are.
+     */
     private static final Duration HOUSEKEEPING_INTERVAL = Duration.ofMillis(100);
 
     private final ServingSetup setup;
@@ -49,34 +55,34 @@
     private final UpstreamDirectory directory = new UpstreamDirectory();
     private final UpstreamHealth health = new UpstreamHealth();
     private final Peers peers;
-    private final PeerContact contact;
+    private final PeerMembership membership;
     private final FeedExchange feeds;
     private final RolloutExchange rollouts;
     private final StepOrders orders;
     private final RequestFlows flows;
     private final Shutdown shutdown;
     private Optional<ServingConfiguration> configuration = Optional.empty();
-    private Optional<Boolean> saidReady = Optional.empty();
-    private Instant present = Instant.EPOCH;
+    private Optional<Boolean> reportedReady = Optional.empty();
+    private Instant currentTime = Instant.EPOCH;
     private Instant housekeepingDue = Instant.EPOCH;
 
-    /** A node that knows nothing yet. */
+    /** Creates a node that has read no feed yet. */
     public Serving(ServingSetup setup) {
         this.setup = setup;
         Roster roster = new Roster(setup.self().vm());
         peers = new Peers(setup.self().vm(), setup.seeds(), roster);
         shutdown = new Shutdown(setup.drainGrace());
-        contact = new PeerContact(setup, roster, peers, effects::add, () -> !shutdown.started());
-        feeds = new FeedExchange(peers, effects::add, this::take);
+        membership = new PeerMembership(setup, roster, peers, effects::add, () -> !shutdown.started());
+        feeds = new FeedExchange(peers, effects::add, this::onFeedRecord);
         rollouts = new RolloutExchange(setup, directory, effects::add);
         orders = new StepOrders(setup, peers, directory, rollouts.callGate(), effects::add, () -> !shutdown.started());
         flows = new RequestFlows(setup, directory, health, roster, orders, rollouts, shutdown, effects::add);
-        orders.onAnswer(answer -> flows.onStepAnswer(answer, present));
+        orders.onAnswer(answer -> flows.onStepAnswer(answer, currentTime));
     }
 
-    /** Takes in one event and gives what has to be done, in order. */
+    /** Processes one event and returns the resulting effects, in the order in which they must be carried out. */
     public List<ServingEffect> handle(ServingEvent event, Instant now) {
-        present = now;
+        currentTime = now;
         switch (event) {
             case ServingEvent.Tick ignored -> onTick(now);
             case ServingEvent.RequestArrived arrived -> onRequest(arrived.request(), now);
@@ -96,19 +102,19 @@
             case ServingEvent.FeedForgotten forgotten -> feeds.onForgotten(forgotten.feed(), now);
             case ServingEvent.FeedFailed failed -> {
                 if (feeds.onFailed(failed, now)) {
-                    contact.tellFollowers(heartbeat(true, now), now);
+                    membership.notifyFollowers(heartbeat(true, now), now);
                 }
             }
-            case ServingEvent.RecordWritten written -> contact.onRecordWritten(written, now);
+            case ServingEvent.RecordWritten written -> membership.onRecordWritten(written, now);
             case ServingEvent.DrainStarted started -> onDrainStarted(started.askedAt(), now);
             case ServingEvent.PortsClosing ignored -> shutdown.closePorts();
         }
-        feeds.activate(FeedName.ROLLOUTS, rollouts.underWay());
+        feeds.setActive(FeedName.ROLLOUTS, rollouts.inProgress());
         feeds.read(now);
-        tellReadiness();
-        List<ServingEffect> wanted = List.copyOf(effects);
+        reportReadiness();
+        List<ServingEffect> result = List.copyOf(effects);
         effects.clear();
-        return wanted;
+        return result;
     }
 
     private void onTick(Instant now) {
@@ -118,48 +124,48 @@
         }
         flows.onTick(now);
         if (shutdown.started()) {
-            endOverdue(now);
+            advanceShutdown(now);
         }
         orders.onTick(now);
         if (shutdown.pollFinished(flows.idle() && orders.idle(), now)) {
             log(Decision.builder("shutdown_ends")
                     .field("since_signal_ms", shutdown.since(now).toMillis())
-                    .field("reason", shutdown.outOfTime(now) ? "out of time" : "all is answered")
+                    .field("reason", shutdown.outOfTime(now) ? "grace period elapsed" : "all requests answered")
                     .field("orders", orders.size()));
             effects.add(new ServingEffect.DrainFinished());
         }
     }
 
     private void runHousekeeping(Instant now) {
-        for (VmId dropped : directory.onTick(now)) {
-            log(Decision.builder("upstream_lapsed").field("upstream", dropped));
+        for (VmId expired : directory.onTick(now)) {
+            log(Decision.builder("upstream_lapsed").field("upstream", expired));
         }
-        contact.onTick(feeds.whole(FeedName.MEMBERSHIP), orders.partners(), reply -> heartbeat(reply, now), now);
-        feeds.reader(contact.readsStore(now));
+        membership.onTick(feeds.complete(FeedName.MEMBERSHIP), orders.partners(), reply -> heartbeat(reply, now), now);
+        feeds.setReader(membership.readsStore(now));
         onRolloutTick(now);
         feeds.catchUp(now);
     }
 
     private void onRolloutTick(Instant now) {
-        boolean underWay = rollouts.underWay();
-        contact.rollsOut(underWay);
-        if (underWay) {
+        boolean inProgress = rollouts.inProgress();
+        membership.setRolloutInProgress(inProgress);
+        if (inProgress) {
             rollouts.onTick(
-                    contact.rolloutCoordinator(now),
+                    membership.rolloutCoordinator(now),
                     feeds.fresh(FeedName.ROLLOUTS, now),
                     feeds.position(FeedName.ROLLOUTS),
                     now);
         }
     }
 
-    private void endOverdue(Instant now) {
-        if (shutdown.pollNoticed(now)) {
+    private void advanceShutdown(Instant now) {
+        if (shutdown.pollReadinessPropagated(now)) {
             effects.add(new ServingEffect.CloseIdleConnections());
         }
-        flows.refuseOverdue(now);
+        flows.refuseUnanswerable(now);
         if (shutdown.outOfTime(now)) {
-            flows.endAll(now);
-            // The room of results that nobody will fetch is missing to all nodes until their lifetime ends.
+            flows.failAll(now);
+            // Unreleased results would occupy room at their stage servers, for all nodes, until their lifetime ends.
             orders.scheduler().releaseAtOnce();
         }
     }
@@ -175,7 +181,7 @@
 
     private void onRequest(RoutedRequest request, Instant now) {
         if (configuration.isEmpty()) {
-            // A node that knows no configuration cannot tell a wrong path from one that it has not heard of yet.
+            // Without a configuration, an unknown path cannot be told from a route that has not been read yet.
             String message = "node has not read its configuration yet, retry on another node";
             effects.add(new ServingEffect.Refuse(
                     request.id(), Refusal.notRun(ResultCode.NOT_READY, RequestFlows.DEFAULT_RETRY_AFTER, message)));
@@ -199,14 +205,14 @@
     private void onPeerMessage(NodeId sender, ServingMessage message, Instant now) {
         switch (message) {
             case ServingMessage.Heartbeat heartbeat -> {
-                if (contact.onHeartbeat(sender, heartbeat, reply -> heartbeat(reply, now), now)) {
+                if (membership.onHeartbeat(sender, heartbeat, reply -> heartbeat(reply, now), now)) {
                     orders.onPeerRestarted(sender.vm(), now);
                 }
             }
             case ServingMessage.FeedAsk ask -> feeds.onAsk(sender.vm(), ask);
             case ServingMessage.FeedHelp help -> feeds.onHelp(help, now);
             case ServingMessage.FeedUpdate update -> feeds.onUpdate(sender.vm(), update, now);
-            case ServingMessage.PiecesWanted wanted -> onWanted(sender, wanted, now);
+            case ServingMessage.PiecesWanted wanted -> onPiecesWanted(sender, wanted, now);
             case ServingMessage.PiecesAnswered answered -> orders.onAnswered(sender, answered, now);
             case ServingMessage.PiecesWithdrawn withdrawn -> orders.onWithdrawn(sender, withdrawn.number(), now);
             case ServingMessage.RolloutReport report -> rollouts.onReport(report, now);
@@ -214,25 +220,25 @@
         }
     }
 
-    private void onWanted(NodeId sender, ServingMessage.PiecesWanted wanted, Instant now) {
+    private void onPiecesWanted(NodeId sender, ServingMessage.PiecesWanted wanted, Instant now) {
         Optional<BatchContract> contract =
-                configuration.flatMap(newest -> newest.pool(wanted.pool())).flatMap(PoolProfile::pieces);
+                configuration.flatMap(latest -> latest.pool(wanted.pool())).flatMap(PoolProfile::pieces);
         if (contract.isEmpty()) {
-            // Not known here yet: the sender says it again.
+            // This node does not know the pool yet; the sender repeats the order.
             return;
         }
         orders.onWanted(sender, wanted, contract.get(), now);
     }
 
-    private boolean take(FeedName name, FeedRecord record, boolean storeUnstable, Instant now) {
+    private boolean onFeedRecord(FeedName name, FeedRecord record, boolean storeUnstable, Instant now) {
         return switch (name) {
             case CONFIGURATION -> {
-                takeConfiguration(record, now);
+                onConfigurationRecord(record, now);
                 yield true;
             }
-            case DIRECTORY -> takeDirectory(record, storeUnstable, now);
+            case DIRECTORY -> onDirectoryRecord(record, storeUnstable, now);
             case MEMBERSHIP -> {
-                contact.onRecord(record, now);
+                membership.onRecord(record, now);
                 yield true;
             }
             case ROLLOUTS -> {
@@ -242,7 +248,7 @@
         };
     }
 
-    private void takeConfiguration(FeedRecord record, Instant now) {
+    private void onConfigurationRecord(FeedRecord record, Instant now) {
         switch (setup.decoder().configuration(record)) {
             case ConfigurationItem.Published published -> publish(published.configuration(), record);
             case ConfigurationItem.DomainService service -> {
@@ -262,32 +268,32 @@
         }
     }
 
-    private void publish(ServingConfiguration newest, FeedRecord record) {
-        if (configuration.isPresent() && configuration.get().version() > newest.version()) {
+    private void publish(ServingConfiguration latest, FeedRecord record) {
+        if (configuration.isPresent() && configuration.get().version() > latest.version()) {
             log(Decision.builder("configuration_older")
-                    .field("version", newest.version())
+                    .field("version", latest.version())
                     .field("offset", record.offset()));
             return;
         }
-        configuration = Optional.of(newest);
-        contact.configure(newest);
-        flows.configure(newest);
-        effects.add(new ServingEffect.LimitsChanged(newest.limits()));
+        configuration = Optional.of(latest);
+        membership.configure(latest);
+        flows.configure(latest);
+        effects.add(new ServingEffect.LimitsChanged(latest.limits()));
         log(Decision.builder("configuration")
-                .field("version", newest.version())
+                .field("version", latest.version())
                 .field("offset", record.offset())
-                .field("routes", newest.routes().size())
-                .field("keys", newest.customers().size()));
+                .field("routes", latest.routes().size())
+                .field("keys", latest.customers().size()));
     }
 
-    /** Whether the record says more than that its upstream is still there. */
-    private boolean takeDirectory(FeedRecord record, boolean storeUnstable, Instant now) {
+    /** Applies a record of the directory feed. Returns false if it only renews a known entry. */
+    private boolean onDirectoryRecord(FeedRecord record, boolean storeUnstable, Instant now) {
         switch (setup.decoder().directory(record)) {
             case DirectoryItem.Listed listed -> {
                 Listing listing = listed.listing();
                 boolean known = directory
                         .find(listing.id())
-                        .map(held -> held.listing().equals(listing))
+                        .map(entry -> entry.listing().equals(listing))
                         .orElse(false);
                 UpstreamDirectory.Change change = directory.onListing(listing, now);
                 if (change == UpstreamDirectory.Change.RESTARTED) {
@@ -326,31 +332,31 @@
         effects.add(new ServingEffect.LogDecision(decision.build()));
     }
 
-    private void tellReadiness() {
+    private void reportReadiness() {
         boolean known = configuration.isPresent()
-                && feeds.whole(FeedName.DIRECTORY)
-                && feeds.whole(FeedName.MEMBERSHIP)
+                && feeds.complete(FeedName.DIRECTORY)
+                && feeds.complete(FeedName.MEMBERSHIP)
                 && peers.settled()
-                && (saidReady.orElse(false) || !rollouts.underWay() || feeds.whole(FeedName.ROLLOUTS));
+                && (reportedReady.orElse(false) || !rollouts.inProgress() || feeds.complete(FeedName.ROLLOUTS));
         boolean ready = known && !shutdown.started();
-        if (saidReady.isPresent() && saidReady.get() == ready) {
+        if (reportedReady.isPresent() && reportedReady.get() == ready) {
             return;
         }
-        saidReady = Optional.of(ready);
+        reportedReady = Optional.of(ready);
         String reason = shutdown.started() ? "shutting down" : known ? "serving" : "reading the feeds";
         effects.add(new ServingEffect.ReadinessChanged(ready, reason));
     }
 
-    /** How long this node can wait for its next tick, as it is now. */
+    /** Returns the time until the next tick is due, in the current state of the node. */
     public Duration tickInterval() {
         if (shutdown.started() || !orders.scheduler().idle()) {
             return SCHEDULING_TICK;
         }
-        boolean starting = !saidReady.orElse(false);
-        return starting || flows.undecided() || !orders.idle() ? REQUEST_TICK : IDLE_TICK;
+        boolean starting = !reportedReady.orElse(false);
+        return starting || flows.awaitingAnswer() || !orders.idle() ? REQUEST_TICK : IDLE_TICK;
     }
 
-    /** How many requests are under way. */
+    /** Returns the number of requests in progress. */
     public int requests() {
         return flows.size();
     }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/Shutdown.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/Shutdown.java
@@ -5,19 +5,22 @@
 import org.wagtaillug.drain.Grace;
 
 /**
- * The end of a node's life: it says at once that it is not ready, goes on serving what it can still answer, and ends when
- * the balancer has noticed and everything is answered, or when its time is over.
+ * The shutdown of a node: it reports at once that it is not ready, continues to serve what it can answer in time, and
+ * ends when the load balancer has noticed and all requests are answered, or when its grace period is over.
  */
 final class Shutdown {
-    /** The balancer asks once a second and takes a node out after two misses; half a second for requests on their way. */
+    /**
+     * The load balancer probes readiness once a second and removes a node after two failures; half a second is added
+     * for requests in transit.
+     */
     private static final Duration READINESS_PROPAGATION_DELAY = Duration.ofMillis(2500);
 
     private final Grace grace;
-    private boolean noticedGiven;
-    private boolean finishedGiven;
-    private boolean portsClose;
+    private boolean propagationReported;
+    private boolean finishReported;
+    private boolean portsClosing;
 
-    /** A node that is killed so long after it was asked to end. */
+    /** Creates the shutdown of a node that is killed after this grace period. */
     Shutdown(Duration grace) {
         this.grace = new Grace(grace);
     }
@@ -30,45 +33,47 @@
         return grace.started();
     }
 
-    /** The time since the node was asked to end; zero if it was not. */
+    /** The time since the shutdown signal; zero if there was none. */
     Duration since(Instant now) {
         return grace.since(now);
     }
 
-    /** Whether work that needs so long is over before the last answers have to be given. */
+    /** Whether work of this duration completes before the final answers have to be given. */
     boolean enoughFor(Duration needed, Instant now) {
-        return !portsClose && grace.enoughFor(needed, now);
+        return !portsClosing && grace.enoughFor(needed, now);
     }
 
-    /** Whether what is open has to get its last answer now. */
+    /** Whether open requests must get their final answers now. */
     boolean outOfTime(Instant now) {
         return grace.outOfTime(now);
     }
 
-    /** From now on nothing is enough: what is read while the ports close would be cut. */
+    /**
+     * Makes {@link #enoughFor} false for any duration: a request that is read while the ports close would be cut off.
+     */
     void closePorts() {
-        portsClose = true;
+        portsClosing = true;
     }
 
-    /** Gives true once: when the balancer sends nothing more, if it has another node to send to. */
-    boolean pollNoticed(Instant now) {
-        if (noticedGiven || !noticed(now)) {
+    /** Returns true once, when the load balancer sends nothing more, provided that it has another node. */
+    boolean pollReadinessPropagated(Instant now) {
+        if (propagationReported || !readinessPropagated(now)) {
             return false;
         }
-        noticedGiven = true;
+        propagationReported = true;
         return true;
     }
 
-    private boolean noticed(Instant now) {
+    private boolean readinessPropagated(Instant now) {
         return started() && grace.since(now).compareTo(READINESS_PROPAGATION_DELAY) >= 0;
     }
 
-    /** Gives true once: when the process may end. */
+    /** Returns true once, when the process may exit. */
     boolean pollFinished(boolean idle, Instant now) {
-        if (finishedGiven || !started()) {
+        if (finishReported || !started()) {
             return false;
         }
-        finishedGiven = (idle && noticed(now)) || outOfTime(now);
-        return finishedGiven;
+        finishReported = (idle && readinessPropagated(now)) || outOfTime(now);
+        return finishReported;
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/StepOrders.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/StepOrders.java
@@ -30,26 +30,28 @@
 import org.wagtaillug.route.BatchContract;
 
 /**
- * Orders of pieces: this node's own, wherever their pool's calls are filled, and those of others that are filled here.
+ * Orders of pieces: those of this node, whichever node schedules them, and those of other nodes that are scheduled
+ * here.
  *
- * <p>A message may be lost, and the node that fills a pool's calls may die with all that it was told. An order is said
- * again while nothing is heard, to whichever node fills then; the filling node knows an order that it has heard before.
+ * <p>A message may be lost, and the node that schedules a pool may fail and lose its state. An order is therefore
+ * resent until it is answered, to whichever node schedules the pool at that time; the scheduling node recognises an
+ * order that it already has.
  */
 final class StepOrders {
-    /** Above the usual time of a full call, so that most orders are sent once. */
+    /** Longer than a typical full call, so that most orders are sent once. */
     private static final Duration RESEND_INTERVAL = Duration.ofMillis(600);
 
-    /** Answered orders that are remembered to recognise a duplicate answer. */
+    /** Number of answered orders that are remembered to recognise duplicate answers. */
     private static final int MAX_REMEMBERED_ANSWERS = 4096;
 
     private final NodeId self;
     private final boolean sharesScheduling;
     private final Peers peers;
     private final Consumer<ServingEffect> effects;
-    private final BooleanSupplier takesWork;
+    private final BooleanSupplier acceptsWork;
     private final BatchScheduler scheduler;
-    private final Map<Long, Outstanding> outstanding = new HashMap<>();
-    private final Map<Long, VmId> taken = new LinkedHashMap<>() {
+    private final Map<Long, PendingOrder> pending = new HashMap<>();
+    private final Map<Long, VmId> answeredBy = new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<Long, VmId> eldest) {
             return size() > MAX_REMEMBERED_ANSWERS;
@@ -59,23 +61,23 @@
     private long lastNumber;
 
     /**
-     * What became of one of this node's own orders.
+     * The answer to an order of this node.
      *
-     * @param order which
-     * @param outcome what
-     * @param scheduler the node that filled it
-     * @param took the time since it was ordered
+     * @param order the order
+     * @param outcome its outcome
+     * @param scheduler the node that scheduled it
+     * @param took time since it was ordered
      */
     record Answer(BatchOrder order, BatchOutcome outcome, VmId scheduler, Duration took) {}
 
-    private static final class Outstanding {
+    private static final class PendingOrder {
         private final BatchOrder order;
         private final BatchContract contract;
         private final Instant orderedAt;
         private VmId scheduler;
         private Instant resendAt = Instant.EPOCH;
 
-        private Outstanding(BatchOrder order, BatchContract contract, VmId scheduler, Instant orderedAt) {
+        private PendingOrder(BatchOrder order, BatchContract contract, VmId scheduler, Instant orderedAt) {
             this.order = order;
             this.contract = contract;
             this.orderedAt = orderedAt;
@@ -89,16 +91,16 @@
             UpstreamDirectory directory,
             CallGate gate,
             Consumer<ServingEffect> effects,
-            BooleanSupplier takesWork) {
+            BooleanSupplier acceptsWork) {
         this.self = setup.self();
         this.sharesScheduling = setup.features().uses(PolicyFeature.SHARED_FILLING);
         this.peers = peers;
         this.effects = effects;
-        this.takesWork = takesWork;
+        this.acceptsWork = acceptsWork;
         this.scheduler = new BatchScheduler(directory, new SchedulerOutput(), setup.features(), gate);
     }
 
-    /** Sets who hears what became of this node's orders. */
+    /** Sets the receiver of answers to this node's orders. */
     void onAnswer(Consumer<Answer> receiver) {
         answers = receiver;
     }
@@ -107,37 +109,44 @@
         return scheduler;
     }
 
-    /** A number for a new order. */
+    /** Returns a new order id. */
     OrderId nextId() {
         lastNumber++;
         return new OrderId(self, lastNumber);
     }
 
     void order(BatchOrder order, BatchContract contract, Instant now) {
-        Outstanding one = new Outstanding(order, contract, holder(order.pool(), now), now);
-        outstanding.put(order.id().number(), one);
-        send(one, now);
+        PendingOrder entry = new PendingOrder(order, contract, schedulerOf(order.pool(), now), now);
+        pending.put(order.id().number(), entry);
+        send(entry, now);
     }
 
-    /** How long an order of a rank is likely to wait for a pool, as the node that fills its calls has said. */
+    /**
+     * The expected waiting time of an order with this rank at a pool, as reported by the node that schedules the
+     * pool.
+     */
     Duration waitOf(PoolId pool, int rank, Instant now) {
-        VmId holder = holder(pool, now);
-        return holder.equals(self.vm()) ? scheduler.waitOf(pool, rank, now) : peers.waitOf(holder, pool, rank);
+        VmId currentScheduler = schedulerOf(pool, now);
+        return currentScheduler.equals(self.vm())
+                ? scheduler.waitOf(pool, rank, now)
+                : peers.waitOf(currentScheduler, pool, rank);
     }
 
-    private VmId holder(PoolId pool, Instant now) {
-        return sharesScheduling ? peers.holder(PeerContact.scheduling(pool), takesWork.getAsBoolean(), now) : self.vm();
+    private VmId schedulerOf(PoolId pool, Instant now) {
+        return sharesScheduling
+                ? peers.holder(PeerMembership.scheduling(pool), acceptsWork.getAsBoolean(), now)
+                : self.vm();
     }
 
-    private void send(Outstanding one, Instant now) {
-        one.resendAt = now.plus(RESEND_INTERVAL);
-        if (one.scheduler.equals(self.vm())) {
-            scheduler.onOrder(one.order, one.contract, now);
+    private void send(PendingOrder entry, Instant now) {
+        entry.resendAt = now.plus(RESEND_INTERVAL);
+        if (entry.scheduler.equals(self.vm())) {
+            scheduler.onOrder(entry.order, entry.contract, now);
             return;
         }
-        BatchOrder order = one.order;
+        BatchOrder order = entry.order;
         effects.accept(new ServingEffect.SendToPeer(
-                one.scheduler,
+                entry.scheduler,
                 new ServingMessage.PiecesWanted(
                         order.id().number(),
                         order.request(),
@@ -153,26 +162,26 @@
                         Duration.between(now, order.urgency().deadline()))));
     }
 
-    /** The request has ended: its orders are not wanted any more. */
+    /** Withdraws the orders of a request that has ended. */
     void withdraw(List<Long> numbers, Instant now) {
         for (long number : numbers) {
-            Outstanding one = outstanding.remove(number);
-            if (one != null) {
-                withdraw(one, now);
+            PendingOrder entry = pending.remove(number);
+            if (entry != null) {
+                withdraw(entry, now);
             }
         }
     }
 
-    private void withdraw(Outstanding one, Instant now) {
-        if (one.scheduler.equals(self.vm())) {
-            scheduler.onWithdrawn(one.order.id(), now);
+    private void withdraw(PendingOrder entry, Instant now) {
+        if (entry.scheduler.equals(self.vm())) {
+            scheduler.onWithdrawn(entry.order.id(), now);
             return;
         }
-        long number = one.order.id().number();
-        effects.accept(new ServingEffect.SendToPeer(one.scheduler, new ServingMessage.PiecesWithdrawn(number)));
+        long number = entry.order.id().number();
+        effects.accept(new ServingEffect.SendToPeer(entry.scheduler, new ServingMessage.PiecesWithdrawn(number)));
     }
 
-    /** Results are not needed any more; the node that fills their pool keeps the account of the room. */
+    /** Releases results at the node that schedules their pool, which tracks the room at stage servers. */
     void release(VmId schedulerNode, List<StepResult> results) {
         if (results.isEmpty()) {
             return;
@@ -184,7 +193,7 @@
         effects.accept(new ServingEffect.SendToPeer(schedulerNode, new ServingMessage.ResultsReleased(results)));
     }
 
-    /** Another node orders pieces here. */
+    /** Accepts an order of another node. */
     void onWanted(NodeId sender, ServingMessage.PiecesWanted wanted, BatchContract contract, Instant now) {
         BatchOrder.Urgency urgency =
                 new BatchOrder.Urgency(wanted.rank(), now.plus(wanted.aimLeft()), now.plus(wanted.deadlineLeft()));
@@ -202,89 +211,93 @@
         scheduler.onOrder(order, contract, now);
     }
 
-    /** Another node withdraws an order. */
+    /** Withdraws an order of another node. */
     void onWithdrawn(NodeId sender, long number, Instant now) {
         scheduler.onWithdrawn(new OrderId(sender, number), now);
     }
 
-    /** The node that fills says what became of an order. */
+    /** Processes the answer of the scheduling node to an order. */
     void onAnswered(NodeId sender, ServingMessage.PiecesAnswered answered, Instant now) {
         answer(answered.number(), answered.outcome(), sender.vm(), now);
     }
 
     private void answer(long number, BatchOutcome outcome, VmId schedulerNode, Instant now) {
-        Outstanding one = outstanding.remove(number);
-        if (one != null) {
-            taken.put(number, schedulerNode);
-            answers.accept(new Answer(one.order, outcome, schedulerNode, Duration.between(one.orderedAt, now)));
+        PendingOrder entry = pending.remove(number);
+        if (entry != null) {
+            answeredBy.put(number, schedulerNode);
+            answers.accept(new Answer(entry.order, outcome, schedulerNode, Duration.between(entry.orderedAt, now)));
             return;
         }
-        // An order that is said again while its answer is on the way is answered twice. Taking the second word for
-        // results
-        // that nobody wants would release those that the request is about to use, and its next step would find them
-        // gone.
-        boolean saidAgain = schedulerNode.equals(taken.get(number));
-        if (!saidAgain && outcome instanceof BatchOutcome.Made made) {
-            // The request has ended meanwhile, or another node made the same pieces.
+        // An order that is resent while its answer is in transit is answered twice. If the second answer were taken
+        // for unwanted results, they would be released although the request is about to use them, and its next step
+        // would not find them.
+        boolean duplicate = schedulerNode.equals(answeredBy.get(number));
+        if (!duplicate && outcome instanceof BatchOutcome.Made made) {
+            // The request has ended meanwhile, or another node has produced the same pieces.
             release(schedulerNode, made.results());
         }
     }
 
-    /** Says again what was not answered; to another node if another fills now. */
+    /** Resends unanswered orders, to another node if the pool is scheduled there now. */
     void onTick(Instant now) {
-        for (Outstanding one : List.copyOf(outstanding.values())) {
-            VmId holder = holder(one.order.pool(), now);
-            if (!holder.equals(one.scheduler) && (!stillThere(one.scheduler, now) || givenBack(one))) {
-                one.scheduler = holder;
-                one.resendAt = now;
+        for (PendingOrder entry : List.copyOf(pending.values())) {
+            VmId currentScheduler = schedulerOf(entry.order.pool(), now);
+            if (!currentScheduler.equals(entry.scheduler)
+                    && (!available(entry.scheduler, now) || returnedByScheduler(entry))) {
+                entry.scheduler = currentScheduler;
+                entry.resendAt = now;
             }
-            if (!now.isBefore(one.resendAt)) {
-                send(one, now);
+            if (!now.isBefore(entry.resendAt)) {
+                send(entry, now);
             }
         }
         scheduler.onTick(now);
     }
 
-    /** An order stays where it is while its node is there, even if another would get it now: its pieces may be half made. */
-    private boolean stillThere(VmId node, Instant now) {
+    /**
+     * Whether a node is up. An order stays with its node while that is up, even if another one schedules the pool
+     * now: some of its pieces may already be in progress.
+     */
+    private boolean available(VmId node, Instant now) {
         return node.equals(self.vm()) || peers.up(node, now);
     }
 
     /**
-     * A node that has just started fills the calls of all pools itself, as it knows of no peer. What it has not called by the
-     * time when it knows better goes to the node that fills for all; kept here, the calls of several nodes would find the
-     * servers full in turn until the last of these orders is done.
+     * Whether the local scheduler gives an order back that it has not called yet. A node that has just started knows
+     * no peer and schedules all pools itself. Once it knows better, the orders that it has not called go to the node
+     * that schedules for all; if it kept them, several nodes would find each other's servers full in turn until the
+     * last of these orders is done.
      */
-    private boolean givenBack(Outstanding one) {
-        return one.scheduler.equals(self.vm()) && scheduler.giveBack(one.order.id());
+    private boolean returnedByScheduler(PendingOrder entry) {
+        return entry.scheduler.equals(self.vm()) && scheduler.giveBack(entry.order.id());
     }
 
-    /** The nodes that have orders of this one. */
+    /** The other nodes that have orders of this node. */
     Set<VmId> partners() {
         Set<VmId> partners = new HashSet<>();
-        for (Outstanding one : outstanding.values()) {
-            partners.add(one.scheduler);
+        for (PendingOrder entry : pending.values()) {
+            partners.add(entry.scheduler);
         }
         partners.remove(self.vm());
         return partners;
     }
 
-    /** A peer has started anew: it knows nothing of what it was told. */
+    /** Resends the orders that a peer has lost by its restart. */
     void onPeerRestarted(VmId peer, Instant now) {
-        for (Outstanding one : outstanding.values()) {
-            if (one.scheduler.equals(peer)) {
-                one.resendAt = now;
+        for (PendingOrder entry : pending.values()) {
+            if (entry.scheduler.equals(peer)) {
+                entry.resendAt = now;
             }
         }
     }
 
     boolean idle() {
-        return outstanding.isEmpty() && scheduler.idle();
+        return pending.isEmpty() && scheduler.idle();
     }
 
-    /** How many of this node's own orders are not answered. */
+    /** Returns the number of unanswered orders of this node. */
     int size() {
-        return outstanding.size();
+        return pending.size();
     }
 
     private final class SchedulerOutput implements BatchOutput {
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/StepTimes.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/StepTimes.java
@@ -10,12 +10,18 @@
 import org.wagtaillug.route.ServingConfiguration;
 import org.wagtaillug.route.Step;
 
-/** By when a step has to be made so that what follows it still fits before the aim and the deadline. */
+/**
+ * Computes by when a step has to be completed so that the following steps and the upstream can still meet the latency
+ * target and the deadline.
+ */
 final class StepTimes {
-    /** Taken for engines of which nothing is known yet: too slow rather than too fast, so that nothing is late by it. */
+    /**
+     * Assumed reading speed of engines without measurements: rather too slow than too fast, so that no request
+     * becomes late by it.
+     */
     private static final int TOKENS_PER_MILLI = 20;
 
-    /** Taken for the connection, the admission and the first token while nothing is known. */
+    /** Assumed time for connection, admission and the first token of engines without measurements. */
     private static final Duration ENGINE_START = Duration.ofMillis(60);
 
     private final EngineTimes engines;
@@ -27,13 +33,13 @@
     }
 
     Urgency urgency(Flow flow, Step step, ServingConfiguration configuration, Instant now) {
-        Duration rest = afterStep(flow, step, configuration).plus(engine(flow, now));
-        Instant aim = flow.arrivedAt().plus(flow.route().aim()).minus(rest);
-        return new Urgency(flow.rank(), aim, flow.beginBy().minus(rest));
+        Duration remaining = timeAfter(flow, step, configuration).plus(engineTime(flow, now));
+        Instant aim = flow.arrivedAt().plus(flow.route().aim()).minus(remaining);
+        return new Urgency(flow.rank(), aim, flow.firstEventDeadline().minus(remaining));
     }
 
-    /** What an engine is likely to take to the first event of the answer. */
-    Duration engine(Flow flow, Instant now) {
+    /** The expected time of an engine to the first event of the answer. */
+    Duration engineTime(Flow flow, Instant now) {
         int tokens = flow.request().promptTokens();
         Duration assumed = ENGINE_START.plusMillis(tokens / TOKENS_PER_MILLI);
         if (!features.uses(PolicyFeature.OBSERVED_ENGINES)) {
@@ -42,13 +48,13 @@
         return engines.expected(flow.pool(), tokens, now).orElse(assumed);
     }
 
-    /** The longest way through the steps that follow one. */
-    private static Duration afterStep(Flow flow, Step step, ServingConfiguration configuration) {
+    /** The critical path through the steps after a given one. */
+    private static Duration timeAfter(Flow flow, Step step, ServingConfiguration configuration) {
         Duration longest = Duration.ZERO;
         for (Step next : flow.steps()) {
             if (next.after().contains(step.number())) {
-                Duration way = duration(flow, next, configuration).plus(afterStep(flow, next, configuration));
-                longest = way.compareTo(longest) > 0 ? way : longest;
+                Duration path = duration(flow, next, configuration).plus(timeAfter(flow, next, configuration));
+                longest = path.compareTo(longest) > 0 ? path : longest;
             }
         }
         return longest;
@@ -63,7 +69,7 @@
                 .orElse(Duration.ZERO);
     }
 
-    /** Calls are full when it matters. */
+    /** Assumes full calls, as calls are full under the load at which urgency matters. */
     private static Duration fullCall(BatchContract contract, int pieces) {
         return contract.callOf(Math.max(contract.batch(), pieces));
     }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/BranchTimingTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/BranchTimingTest.java
@@ -17,7 +17,7 @@
 import org.wagtaillug.route.RouteKind;
 import org.wagtaillug.route.Step;
 
-/** A large result (step 0) beside a chain of three steps (1, 2, 3). */
+/** Uses a large result (step 0) in parallel to a chain of three steps (1, 2, 3). */
 class BranchTimingTest {
     private static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
     private static final PoolId ENCODE = new PoolId("encode");
@@ -51,20 +51,20 @@
         return ROUTE.steps().get(number);
     }
 
-    private void took(int step, int... millis) {
+    private void recordDurations(int step, int... millis) {
         for (int each : millis) {
             durations.onMade(ROUTE.id(), step, Duration.ofMillis(each));
         }
     }
 
-    private void allTook300() {
+    private void recordAllAs300Millis() {
         for (int step = 0; step < 4; step++) {
-            took(step, 300, 300, 300, 300);
+            recordDurations(step, 300, 300, 300, 300);
         }
     }
 
-    private void made(int step) {
-        flow.made(step, List.of(new StepResult("h-" + step, new VmId("i"))), Duration.ofMillis(300));
+    private void complete(int step) {
+        flow.complete(step, List.of(new StepResult("h-" + step, new VmId("i"))), Duration.ofMillis(300));
     }
 
     @Test
@@ -75,42 +75,42 @@
 
     @Test
     void theShortBranchWaitsUntilTheLongOneIsNearlyDone() {
-        // Made at once, the large result would lie at its maker for 600 ms before anything can use it, and other
-        // callers'
-        // requests would find no room there.
-        allTook300();
+        // If the large result were produced at once, it would occupy room at its stage server for 600 ms before it
+        // can be used, and requests of other callers would find none there.
+        recordAllAs300Millis();
         assertThat(timing.startsNow(flow, step(1), START)).isTrue();
         assertThat(timing.startsNow(flow, step(0), START)).isFalse();
-        flow.ordered(step(1), START);
-        made(1);
-        flow.ordered(step(2), START.plusMillis(300));
+        flow.recordOrder(step(1), START);
+        complete(1);
+        flow.recordOrder(step(2), START.plusMillis(300));
         assertThat(timing.startsNow(flow, step(0), START.plusMillis(590))).isFalse();
         assertThat(timing.startsNow(flow, step(0), START.plusMillis(600))).isTrue();
     }
 
     @Test
     void aBranchWhosePoolHasBecomeSlowStartsEarlier() {
-        allTook300();
-        took(0, 900);
+        recordAllAs300Millis();
+        recordDurations(0, 900);
         assertThat(timing.startsNow(flow, step(0), START)).isTrue();
     }
 
     @Test
     void aBranchWithoutOthersStartsAtOnce() {
-        allTook300();
+        recordAllAs300Millis();
         Flow alone = new Flow(request(List.of(2, 0, 0, 0)), ROUTE, Optional.empty(), 0, START);
         assertThat(timing.startsNow(alone, step(0), START)).isTrue();
     }
 
     @Test
     void aBranchStartsWhenTheOthersTakeLongerThanUsual() {
-        // The chain's last step hangs. Waiting for a sign that it is nearly done would add the branch's own time to it.
-        allTook300();
-        flow.ordered(step(1), START);
-        made(1);
-        flow.ordered(step(2), START);
-        made(2);
-        flow.ordered(step(3), START);
+        // The last step of the chain hangs. If the branch waited until the chain is nearly complete, its own duration
+        // would be added.
+        recordAllAs300Millis();
+        flow.recordOrder(step(1), START);
+        complete(1);
+        flow.recordOrder(step(2), START);
+        complete(2);
+        flow.recordOrder(step(3), START);
         assertThat(timing.startsNow(flow, step(0), START.plusSeconds(2))).isTrue();
     }
 }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/FetchTimesTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/FetchTimesTest.java
@@ -15,7 +15,7 @@
     private final EngineTimes engines = new EngineTimes();
     private final FetchTimes times = new FetchTimes(engines);
 
-    private void begin(int count) {
+    private void recordFirstEvents(int count) {
         for (int each = 0; each < count; each++) {
             engines.onFirstEvent(POOL, 1000, Duration.ofMillis(120 + each), NOW);
             times.onFirstEvent(POOL);
@@ -23,24 +23,24 @@
     }
 
     @Test
-    void inputsAreHeldToTheFirstEventWhileNothingIsKnown() {
-        assertThat(times.after(POOL, NOW)).isEmpty();
-        begin(8);
-        assertThat(times.after(POOL, NOW)).contains(Duration.ofMillis(120));
+    void inputsAreHeldUntilTheFirstEventWithoutMeasurements() {
+        assertThat(times.releaseDelay(POOL, NOW)).isEmpty();
+        recordFirstEvents(8);
+        assertThat(times.releaseDelay(POOL, NOW)).contains(Duration.ofMillis(120));
     }
 
     @Test
-    void anInputThatWasGoneDoublesTheTimeUntilNoMoreAre() {
-        // Engines with a queue fetch later than the quickest one answered. Their callers' requests would find their
-        // inputs gone, one after the other, and all steps would be done twice.
-        begin(8);
-        times.onGone(POOL);
-        assertThat(times.after(POOL, NOW)).contains(Duration.ofMillis(240));
-        times.onGone(POOL);
-        assertThat(times.after(POOL, NOW)).contains(Duration.ofMillis(480));
-        begin(32);
-        assertThat(times.after(POOL, NOW)).contains(Duration.ofMillis(240));
-        begin(64);
-        assertThat(times.after(POOL, NOW)).contains(Duration.ofMillis(120));
+    void aMissingInputDoublesTheDelayUntilNoneIsMissing() {
+        // Engines with a queue fetch inputs later than the fastest one answered. Without doubling, request after
+        // request would find its inputs missing, and all steps would be repeated.
+        recordFirstEvents(8);
+        times.onInputMissing(POOL);
+        assertThat(times.releaseDelay(POOL, NOW)).contains(Duration.ofMillis(240));
+        times.onInputMissing(POOL);
+        assertThat(times.releaseDelay(POOL, NOW)).contains(Duration.ofMillis(480));
+        recordFirstEvents(32);
+        assertThat(times.releaseDelay(POOL, NOW)).contains(Duration.ofMillis(240));
+        recordFirstEvents(64);
+        assertThat(times.releaseDelay(POOL, NOW)).contains(Duration.ofMillis(120));
     }
 }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/PathEstimateTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/PathEstimateTest.java
@@ -23,7 +23,7 @@
 import org.wagtaillug.route.ServingConfiguration;
 import org.wagtaillug.route.Step;
 
-/** A chain of two steps and a short branch beside it; 150 ms a call and 20 ms a piece. */
+/** Uses a chain of two steps and a short parallel branch, with 150 ms per call and 20 ms per piece. */
 class PathEstimateTest {
     private static final Instant NOW = Instant.parse("2026-01-01T00:00:00Z");
     private static final PoolId FIRST = new PoolId("first");
@@ -36,7 +36,7 @@
             .build();
 
     private final EngineTimes engines = new EngineTimes();
-    private final PathEstimate way = new PathEstimate(new StepTimes(engines, PolicyFeatures.ALL));
+    private final PathEstimate pathEstimate = new PathEstimate(new StepTimes(engines, PolicyFeatures.ALL));
 
     private static ServingConfiguration configuration() {
         BatchContract contract =
@@ -48,7 +48,7 @@
         return new ServingConfiguration(1, new RouteTable(List.of(ROUTE)), pools, CallerLimits.USUAL, Map.of());
     }
 
-    private PathEstimate.Path of(int waitOfFirst, int waitOfSecond) {
+    private PathEstimate.Path estimate(int waitOfFirst, int waitOfSecond) {
         RoutedRequest request = new RoutedRequest(
                 new RequestId("r"),
                 "club.example",
@@ -61,33 +61,33 @@
                 1000,
                 Optional.empty());
         Flow flow = new Flow(request, ROUTE, Optional.empty(), 0, NOW);
-        return way.of(
+        return pathEstimate.estimate(
                 flow,
                 configuration(),
                 (pool, rank) -> Duration.ofMillis(pool.equals(FIRST) ? waitOfFirst : waitOfSecond),
                 NOW);
     }
 
-    private void enginesTake(int millis) {
+    private void recordEngineMillis(int millis) {
         for (int each = 0; each < 8; each++) {
             engines.onFirstEvent(new PoolId("model"), 1000, Duration.ofMillis(millis), NOW);
         }
     }
 
     @Test
-    void theWayIsTheLongestChainAndTheEngine() {
-        enginesTake(200);
-        assertThat(of(0, 0).whole()).isEqualTo(Duration.ofMillis(170 + 210 + 200));
-        assertThat(of(0, 0).waits()).isZero();
+    void thePathIsTheLongestChainAndTheEngine() {
+        recordEngineMillis(200);
+        assertThat(estimate(0, 0).total()).isEqualTo(Duration.ofMillis(170 + 210 + 200));
+        assertThat(estimate(0, 0).waits()).isZero();
     }
 
     @Test
     void theWaitsOfAllStepsCount() {
-        // The first pool is idle and the second has seconds of work waiting. A look at the first alone would let the
-        // request begin, and its caller would hear after the first step that it has been for nothing.
-        enginesTake(200);
-        assertThat(of(0, 3000).waits()).isEqualTo(Duration.ofMillis(3000));
-        assertThat(of(0, 3000).whole()).isEqualTo(Duration.ofMillis(170 + 3000 + 210 + 200));
-        assertThat(of(400, 3000).waits()).isEqualTo(Duration.ofMillis(3400));
+        // The first pool is idle and the second one has several seconds of queued work. If only the first pool were
+        // considered, the request would be accepted, and its caller would be refused only after the first step.
+        recordEngineMillis(200);
+        assertThat(estimate(0, 3000).waits()).isEqualTo(Duration.ofMillis(3000));
+        assertThat(estimate(0, 3000).total()).isEqualTo(Duration.ofMillis(170 + 3000 + 210 + 200));
+        assertThat(estimate(400, 3000).waits()).isEqualTo(Duration.ofMillis(3400));
     }
 }
