--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/FeedExchangeTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/FeedExchangeTest.java
@@ -22,16 +22,16 @@
     private final ServingWorld world = new ServingWorld(NODES);
 
     @BeforeEach
-    void settle() {
-        world.usual();
+    void startNodes() {
+        world.startServing();
         world.run(Duration.ofSeconds(4));
     }
 
     private Set<VmId> readersWithin(Duration time) {
-        world.said.values().forEach(List::clear);
+        world.effectsByNode.values().forEach(List::clear);
         world.run(time);
         Set<VmId> readers = new TreeSet<>();
-        world.said.forEach((vm, effects) -> {
+        world.effectsByNode.forEach((vm, effects) -> {
             if (effects.stream().anyMatch(ServingEffect.ReadFeed.class::isInstance)) {
                 readers.add(vm);
             }
@@ -39,17 +39,17 @@
         return readers;
     }
 
-    private void takeSouthOut() {
+    private void takeSouthOutOfService() {
         world.write(FeedName.CONFIGURATION, "out/south", new ConfigurationItem.DomainService(SOUTH, true));
     }
 
     private void assertThatAllSendNorth() {
         for (int number = 1; number <= NODES; number++) {
-            if (world.dead.contains(node(number))) {
+            if (world.failed.contains(node(number))) {
                 continue;
             }
             for (int count = 0; count < 3; count++) {
-                RequestId request = world.ask(number, "lookup");
+                RequestId request = world.request(number, "lookup");
                 assertThat(world.sends(request))
                         .extracting(order -> order.upstream().domain())
                         .containsExactly(NORTH);
@@ -57,7 +57,7 @@
         }
     }
 
-    /** Guards against a store that is read by every node of a large fleet. */
+    /** Guards against a load on the store that grows with the number of nodes. */
     @Test
     void twoNodesOfAFailureDomainReadTheStore() {
         assertThat(readersWithin(Duration.ofSeconds(4))).hasSize(2);
@@ -65,26 +65,26 @@
 
     @Test
     void followersHearOfAChangeAtOnce() {
-        takeSouthOut();
+        takeSouthOutOfService();
         world.run(Duration.ofMillis(400));
         assertThatAllSendNorth();
     }
 
-    /** Guards against followers that go on with an old configuration because their readers are turned away by the store. */
+    /** Guards against followers that keep an old configuration because the store refuses the reads of their readers. */
     @Test
     void theNextCandidatesReadWhenTheStoreRefusesTheReaders() {
         world.refusedByStore.addAll(readersWithin(Duration.ofSeconds(3)));
         world.run(Duration.ofMillis(300));
-        takeSouthOut();
+        takeSouthOutOfService();
         world.run(Duration.ofMillis(1100));
         assertThatAllSendNorth();
     }
 
-    /** Guards against followers that wait for readers which have died. */
+    /** Guards against followers that wait for failed readers. */
     @Test
     void followersHearOfAChangeAfterTheirReadersDied() {
-        world.dead.addAll(readersWithin(Duration.ofSeconds(3)));
-        takeSouthOut();
+        world.failed.addAll(readersWithin(Duration.ofSeconds(3)));
+        takeSouthOutOfService();
         world.run(Duration.ofMillis(2600));
         assertThatAllSendNorth();
     }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/LoadWorld.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/LoadWorld.java
@@ -39,9 +39,10 @@
 import org.wagtaillug.route.Step;
 
 /**
- * One node under the load of a supper-club firm: briefs with a chain of three steps and sometimes a large result beside it,
- * replies with the same chain, and chats with large results only. Stage servers keep their account of room and work one call
- * at a time; engines answer after the time to read the prompt; callers that are refused come back once, when told.
+ * Simulates one node under a mixed load: briefs with a chain of three steps and sometimes a large result in parallel,
+ * replies with the same chain, and chats with large results only. Stage servers track their room and process one call
+ * at a time, engines answer after the time to read the prompt, and refused callers retry once, after the time they
+ * are told.
  */
 final class LoadWorld {
     private static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
@@ -52,7 +53,7 @@
     private static final PoolId RERANK = new PoolId("rerank");
     private static final PoolId MODEL = new PoolId("model");
 
-    /** A large result beside a chain of three steps; which of them a request has, its pieces say. */
+    /** A large result in parallel to a chain of three steps; the pieces of a request say which of them it has. */
     private static final List<Step> CHAIN = List.of(
             new Step(0, ENCODE, List.of(), 3_000_000),
             new Step(1, ENCODE, List.of(), 8_000),
@@ -61,36 +62,36 @@
 
     private static final VmId SELF = new VmId("node-1");
 
-    /** From the node to a server and back, with the work on both ways. */
+    /** Round trip from the node to a server, including processing on both sides. */
     private static final Duration ROUND_TRIP = Duration.ofMillis(5);
 
-    /** Connection, admission and the first token of an engine. */
+    /** Time of an engine for connection, admission and the first token. */
     private static final Duration ENGINE_START = Duration.ofMillis(60);
 
-    /** How many tokens of a prompt engines read in a millisecond unless a test says otherwise. */
+    /** Prompt tokens that engines read in a millisecond unless a test sets another value. */
     static final int USUAL_TOKENS_PER_MILLI = 30;
 
-    /** Callers come in groups: a table asks at once. */
-    private static final int TOGETHER = 3;
+    /** Callers arrive in groups of this size. */
+    private static final int GROUP_SIZE = 3;
 
-    /** What callers ask for, and what it is worth to them. */
-    enum Kind {
+    /** Kinds of requests, with the value of an answer in time and of a late one. */
+    enum RequestKind {
         BRIEF(9.4, 3.5, 0.53, 1700, 8000, 1, 5400),
         REPLY(10.9, 2.0, 0.3, 1500, 5000, 0, 2000),
         CHAT(7.1, 0.66, 0.1, 800, 15_000, 2, 600);
 
         final double perSecond;
-        final double worth;
-        final double lateWorth;
+        final double value;
+        final double lateValue;
         final int aimMillis;
         final int deadlineMillis;
         final int rank;
         final int tokens;
 
-        Kind(double perSecond, double worth, double lateWorth, int aim, int deadline, int rank, int tokens) {
+        RequestKind(double perSecond, double value, double lateValue, int aim, int deadline, int rank, int tokens) {
             this.perSecond = perSecond;
-            this.worth = worth;
-            this.lateWorth = lateWorth;
+            this.value = value;
+            this.lateValue = lateValue;
             this.aimMillis = aim;
             this.deadlineMillis = deadline;
             this.rank = rank;
@@ -98,26 +99,26 @@
         }
     }
 
-    /** A span of time in which one kind, or all if it is null, comes more often. */
-    record Burst(double fromSecond, double toSecond, Kind kind, double times) {}
+    /** An interval in which one kind, or all if it is null, arrives more often. */
+    record Burst(double fromSecond, double toSecond, RequestKind kind, double times) {}
 
-    /** What became of the requests of a kind. */
+    /** Results of the requests of one kind. */
     static final class Tally {
-        int asked;
-        double worth;
+        int requested;
+        double value;
 
-        /** What callers of this kind got of what they were owed. */
-        double share(Kind kind) {
-            return worth / (asked * kind.worth);
+        /** The share of the achievable value that callers of this kind got. */
+        double share(RequestKind kind) {
+            return value / (requested * kind.value);
         }
 
         void add(Tally other) {
-            asked += other.asked;
-            worth += other.worth;
+            requested += other.requested;
+            value += other.value;
         }
     }
 
-    private record Event(Instant at, long number, Runnable what) implements Comparable<Event> {
+    private record Event(Instant at, long number, Runnable action) implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
             int byTime = at.compareTo(other.at);
@@ -125,7 +126,7 @@
         }
     }
 
-    private record Asked(Kind kind, Instant at, List<Integer> pieces, boolean again) {}
+    private record SentRequest(RequestKind kind, Instant at, List<Integer> pieces, boolean retry) {}
 
     private static final class StageServer {
         final BatchContract contract;
@@ -141,10 +142,10 @@
     private final Random random;
     private final Serving node;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
-    private final Map<Kind, Tally> tallies = new LinkedHashMap<>();
-    private final Map<String, Asked> asked = new HashMap<>();
+    private final Map<RequestKind, Tally> tallies = new LinkedHashMap<>();
+    private final Map<String, SentRequest> requested = new HashMap<>();
     private final Map<VmId, StageServer> servers = new HashMap<>();
-    private final Map<String, DirectoryItem> contents = new HashMap<>();
+    private final Map<String, DirectoryItem> directoryItems = new HashMap<>();
     private int tokensPerMilli = USUAL_TOKENS_PER_MILLI;
     private Instant now = START;
     private long sequence;
@@ -153,10 +154,10 @@
         this(seed, PolicyFeatures.ALL);
     }
 
-    /** A node that does without some ways of deciding. */
+    /** Creates a node with some policy features disabled. */
     LoadWorld(long seed, PolicyFeatures features) {
         random = new Random(seed);
-        for (Kind kind : Kind.values()) {
+        for (RequestKind kind : RequestKind.values()) {
             tallies.put(kind, new Tally());
         }
         node = new Serving(ServingSetup.builder(new NodeId(SELF, 1), DOMAINS[0], decoder())
@@ -168,8 +169,8 @@
         handle(new ServingEvent.FeedListed(FeedName.DIRECTORY, listings(), false, 100));
     }
 
-    /** Engines read prompts at another pace. */
-    LoadWorld enginesRead(int tokens) {
+    /** Sets the speed at which engines read prompts. */
+    LoadWorld engineTokensPerMilli(int tokens) {
         tokensPerMilli = tokens;
         return this;
     }
@@ -187,12 +188,12 @@
 
             @Override
             public DirectoryItem directory(FeedRecord record) {
-                return contents.get(record.key());
+                return directoryItems.get(record.key());
             }
 
             @Override
             public RolloutItem rollout(FeedRecord record) {
-                return new RolloutItem.Ignored("not played");
+                return new RolloutItem.Ignored("not simulated");
             }
 
             @Override
@@ -221,7 +222,7 @@
             VmId id = new VmId(pool + "-" + number);
             Listing listing = new Listing(
                     id, 1, pool, "10.0.0.1", 80, DOMAINS[number % DOMAINS.length], false, Duration.ZERO, "");
-            contents.put(id.value(), new DirectoryItem.Listed(listing));
+            directoryItems.put(id.value(), new DirectoryItem.Listed(listing));
             records.add(record(id.value(), records.size()));
             configuration()
                     .pool(pool)
@@ -232,7 +233,7 @@
 
     private static ServingConfiguration configuration() {
         List<Route> routes = new ArrayList<>();
-        for (Kind kind : Kind.values()) {
+        for (RequestKind kind : RequestKind.values()) {
             Route.Builder route = Route.builder(new RouteId(kind.name()), RouteKind.STREAM)
                     .place("club.example", "/" + kind.name() + "/")
                     .times(Duration.ofMillis(kind.deadlineMillis), Duration.ofMillis(kind.aimMillis))
@@ -258,9 +259,9 @@
         return new PoolProfile(pool, 370, 0, Optional.of(contract), false);
     }
 
-    /** Lets callers ask for a time, and lets everything come to its end. */
-    Map<Kind, Tally> play(double seconds, double times, List<Burst> bursts) {
-        for (Kind kind : Kind.values()) {
+    /** Generates load for a time and runs until all requests have ended. */
+    Map<RequestKind, Tally> run(double seconds, double times, List<Burst> bursts) {
+        for (RequestKind kind : RequestKind.values()) {
             double at = 0;
             while (at < seconds) {
                 double rate = kind.perSecond * times;
@@ -268,9 +269,9 @@
                     boolean on = at >= burst.fromSecond() && at < burst.toSecond();
                     rate *= on && (burst.kind() == null || burst.kind() == kind) ? burst.times() : 1;
                 }
-                at += -Math.log(1 - random.nextDouble()) * TOGETHER / rate;
-                for (int number = 0; number < TOGETHER; number++) {
-                    later(START.plusNanos(Math.round(at * 1e9)), () -> ask(kind, now, pieces(kind), false));
+                at += -Math.log(1 - random.nextDouble()) * GROUP_SIZE / rate;
+                for (int number = 0; number < GROUP_SIZE; number++) {
+                    schedule(START.plusNanos(Math.round(at * 1e9)), () -> sendRequest(kind, now, pieces(kind), false));
                 }
             }
         }
@@ -280,7 +281,7 @@
             if (!events.isEmpty() && !events.peek().at().isAfter(tick)) {
                 Event event = events.poll();
                 now = event.at().isAfter(now) ? event.at() : now;
-                event.what().run();
+                event.action().run();
                 continue;
             }
             now = tick;
@@ -290,12 +291,12 @@
         return tallies;
     }
 
-    private void later(Instant at, Runnable what) {
+    private void schedule(Instant at, Runnable action) {
         sequence++;
-        events.add(new Event(at, sequence, what));
+        events.add(new Event(at, sequence, action));
     }
 
-    private List<Integer> pieces(Kind kind) {
+    private List<Integer> pieces(RequestKind kind) {
         return switch (kind) {
             case BRIEF -> List.of(random.nextDouble() < 0.4 ? 1 + random.nextInt(2) : 0, 1, 6, 8 + random.nextInt(17));
             case REPLY -> List.of(0, 1, 6, 8 + random.nextInt(17));
@@ -303,12 +304,12 @@
         };
     }
 
-    private void ask(Kind kind, Instant first, List<Integer> pieces, boolean again) {
+    private void sendRequest(RequestKind kind, Instant first, List<Integer> pieces, boolean retry) {
         sequence++;
         RequestId id = new RequestId(kind + "-" + sequence);
-        asked.put(id.value(), new Asked(kind, first, pieces, again));
-        if (!again) {
-            tallies.get(kind).asked++;
+        requested.put(id.value(), new SentRequest(kind, first, pieces, retry));
+        if (!retry) {
+            tallies.get(kind).requested++;
         }
         Duration left = Duration.between(now, first.plusMillis(kind.deadlineMillis));
         handle(new ServingEvent.RequestArrived(new RoutedRequest(
@@ -332,7 +333,7 @@
                 case ServingEffect.Send send -> answer(send.order());
                 case ServingEffect.Refuse refuse -> refused(refuse);
                 default -> {
-                    // Of no matter to the load.
+                    // Not relevant to the load.
                 }
             }
         }
@@ -340,14 +341,14 @@
 
     private void call(BatchCall call) {
         StageServer server = servers.get(call.upstream().id());
-        Instant turn = later(server.freeAt, now.plus(ROUND_TRIP.dividedBy(2)));
+        Instant start = laterOf(server.freeAt, now.plus(ROUND_TRIP.dividedBy(2)));
         Duration work = server.contract.callTime();
         for (BatchCall.Item item : call.items()) {
-            // The first step of a chain is lighter than what the pool says of its pieces.
+            // The first step of a chain takes less time than the contract of its pool says.
             double share = item.step() == 1 ? 0.3 : 1;
             work = work.plusNanos(Math.round(server.contract.pieceTime().toNanos() * share));
         }
-        server.freeAt = turn.plus(work);
+        server.freeAt = start.plus(work);
         List<PieceAnswer> answers = new ArrayList<>();
         for (BatchCall.Item item : call.items()) {
             long bytes = CHAIN.get(item.step()).resultBytes();
@@ -360,16 +361,16 @@
             server.used += bytes;
             server.held.put(handle, bytes);
             answers.add(new PieceAnswer.Made(handle));
-            Instant lapse = server.freeAt.plus(server.contract.resultLifetime());
-            later(lapse, () -> free(server, handle));
+            Instant expiry = server.freeAt.plus(server.contract.resultLifetime());
+            schedule(expiry, () -> free(server, handle));
         }
-        later(
+        schedule(
                 server.freeAt.plus(ROUND_TRIP.dividedBy(2)),
                 () -> handle(new ServingEvent.BatchCallEnded(call.number(), new BatchCallEnd.Answered(answers))));
     }
 
-    private static Instant later(Instant one, Instant other) {
-        return one.isAfter(other) ? one : other;
+    private static Instant laterOf(Instant first, Instant other) {
+        return first.isAfter(other) ? first : other;
     }
 
     private static void free(StageServer server, String handle) {
@@ -379,42 +380,43 @@
 
     private void release(ServingEffect.ReleaseResults release) {
         StageServer server = servers.get(release.maker().id());
-        later(now.plus(ROUND_TRIP), () -> {
+        schedule(now.plus(ROUND_TRIP), () -> {
             release.handles().forEach(handle -> free(server, handle));
             handle(new ServingEvent.ReleaseEnded(release.release(), true));
         });
     }
 
     private void answer(SendOrder order) {
-        Asked one = asked.get(order.request().value());
-        Duration reading = ENGINE_START.plusMillis(one.kind().tokens / tokensPerMilli);
-        later(now.plus(reading), () -> {
-            tell(one, Duration.between(one.at(), now));
+        SentRequest request = requested.get(order.request().value());
+        Duration reading = ENGINE_START.plusMillis(request.kind().tokens / tokensPerMilli);
+        schedule(now.plus(reading), () -> {
+            recordAnswer(request, Duration.between(request.at(), now));
             handle(new ServingEvent.AnswerBegan(order.request(), order.attempt()));
         });
-        later(
+        schedule(
                 now.plus(reading).plusMillis(300),
                 () -> handle(new ServingEvent.SendEnded(order.request(), order.attempt(), new SendEnd.Passed())));
     }
 
-    private void tell(Asked one, Duration took) {
-        Tally tally = tallies.get(one.kind());
-        if (took.toMillis() <= one.kind().aimMillis) {
-            tally.worth += one.kind().worth;
-        } else if (took.toMillis() <= one.kind().deadlineMillis) {
-            tally.worth += one.kind().lateWorth;
+    private void recordAnswer(SentRequest request, Duration took) {
+        Tally tally = tallies.get(request.kind());
+        if (took.toMillis() <= request.kind().aimMillis) {
+            tally.value += request.kind().value;
+        } else if (took.toMillis() <= request.kind().deadlineMillis) {
+            tally.value += request.kind().lateValue;
         }
     }
 
     private void refused(ServingEffect.Refuse refuse) {
-        Asked one = asked.get(refuse.request().value());
+        SentRequest request = requested.get(refuse.request().value());
         Duration wait = refuse.refusal().retryAfter();
-        Duration left = Duration.between(now, one.at().plusMillis(one.kind().deadlineMillis));
+        Duration left = Duration.between(now, request.at().plusMillis(request.kind().deadlineMillis));
         Duration longest = left.dividedBy(3);
-        if (one.again() || left.isNegative()) {
+        if (request.retry() || left.isNegative()) {
             return;
         }
         Duration pause = wait.compareTo(longest) < 0 ? wait : longest;
-        later(now.plus(pause).plusMillis(6), () -> ask(one.kind(), one.at(), one.pieces(), true));
+        schedule(
+                now.plus(pause).plusMillis(6), () -> sendRequest(request.kind(), request.at(), request.pieces(), true));
     }
 }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/RolloutLoadTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/RolloutLoadTest.java
@@ -22,7 +22,7 @@
 import org.wagtaillug.rollout.RolloutStatus;
 import org.wagtaillug.rollout.RolloutStatus.State;
 
-/** Plays a steady load while a pool is rolled out, and checks what its upstreams and callers get. */
+/** Applies a steady load during the rollout of a pool, and checks what its upstreams and callers observe. */
 class RolloutLoadTest {
     private static final String OLD = "v1";
     private static final String NEW = "v2";
@@ -46,27 +46,27 @@
 
     private record Answer(Instant at, int node, RequestId request, SendEnd end) {}
 
-    /** How the new version answers. */
+    /** How the candidate version answers. */
     private interface Behaviour {
-        /** Whether an answer is bad. */
+        /** Whether an answer is a failure. */
         boolean bad(Instant now, int newInFlight, Random random);
     }
 
-    private void prepare() {
-        world.usual();
+    private void startRollout() {
+        world.startServing();
         for (int server = 1; server <= 4; server++) {
-            world.list("old-" + server, ServingWorld.ORDERS, OLD);
+            world.register("old-" + server, ServingWorld.ORDERS, OLD);
         }
         world.remove(FeedName.DIRECTORY, "orders-1");
         world.remove(FeedName.DIRECTORY, "orders-2");
         world.run(Duration.ofSeconds(1));
-        world.rollOut(ServingWorld.ORDERS, NEW, WITHIN);
+        world.orderRollout(ServingWorld.ORDERS, NEW, WITHIN);
         for (int server = 1; server <= 4; server++) {
-            world.list("new-" + server, ServingWorld.ORDERS, NEW);
+            world.register("new-" + server, ServingWorld.ORDERS, NEW);
         }
     }
 
-    private void play(Duration time, Behaviour behaviour) {
+    private void runLoad(Duration time, Behaviour behaviour) {
         Instant end = world.now.plus(time);
         while (world.now.isBefore(end)) {
             for (int each = 0; each < REQUESTS_IN_STEP; each++) {
@@ -75,28 +75,28 @@
                     ask(node, behaviour);
                 }
             }
-            deliver(behaviour);
+            deliverAnswers(behaviour);
             world.run(STEP);
         }
     }
 
     private void ask(int node, Behaviour behaviour) {
-        int before = world.history.size();
+        int before = world.effectHistory.size();
         RequestId request = new RequestId("request-" + random.nextLong());
-        world.ask(node, request, "/lookup/1", Optional.of(ServingWorld.KEY));
+        world.request(node, request, "/lookup/1", Optional.of(ServingWorld.KEY));
         asked++;
-        receive(node, before, behaviour);
+        onUpstreamRequests(node, before, behaviour);
     }
 
-    private void receive(int node, int from, Behaviour behaviour) {
-        for (int index = from; index < world.history.size(); index++) {
-            if (world.history.get(index) instanceof ServingEffect.Send send) {
-                receive(node, send.order(), behaviour);
+    private void onUpstreamRequests(int node, int from, Behaviour behaviour) {
+        for (int index = from; index < world.effectHistory.size(); index++) {
+            if (world.effectHistory.get(index) instanceof ServingEffect.Send send) {
+                onUpstreamRequests(node, send.order(), behaviour);
             }
         }
     }
 
-    private void receive(int node, SendOrder order, Behaviour behaviour) {
+    private void onUpstreamRequests(int node, SendOrder order, Behaviour behaviour) {
         Listing upstream = order.upstream();
         arrivals.add(new Arrival(world.now, upstream, node));
         boolean isNew = upstream.version().equals(NEW);
@@ -114,17 +114,17 @@
         return count;
     }
 
-    private void deliver(Behaviour behaviour) {
+    private void deliverAnswers(Behaviour behaviour) {
         for (Answer answer : List.copyOf(pending)) {
             if (answer.at().isAfter(world.now)) {
                 continue;
             }
             pending.remove(answer);
-            int before = world.history.size();
-            world.end(answer.node(), answer.request(), answer.end());
+            int before = world.effectHistory.size();
+            world.endAttempt(answer.node(), answer.request(), answer.end());
             answered.add(answer.request());
             failedRequests += answer.end() instanceof SendEnd.Failed ? 1 : 0;
-            receive(answer.node(), before, behaviour);
+            onUpstreamRequests(answer.node(), before, behaviour);
         }
     }
 
@@ -146,23 +146,26 @@
 
     @Test
     void completesAGoodVersionInTimeAndUsesItAlone() {
-        prepare();
-        play(WITHIN, (now, inFlight, any) -> false);
+        startRollout();
+        runLoad(WITHIN, (now, inFlight, any) -> false);
         assertThat(state()).isEqualTo(State.COMPLETED);
         Instant completed = world.now;
-        play(Duration.ofSeconds(1), (now, inFlight, any) -> false);
+        runLoad(Duration.ofSeconds(1), (now, inFlight, any) -> false);
         assertThat(arrivedAt(OLD, completed)).isZero();
         assertThat(arrivedAt(NEW, completed)).isPositive();
-        assertThat(world.all(ServingEffect.Refuse.class)).isEmpty();
+        assertThat(world.effects(ServingEffect.Refuse.class)).isEmpty();
     }
 
-    /** Guards against stopping servers that requests still run on: the old version's servers end without draining. */
+    /**
+     * Guards against stopping servers that still execute requests: the servers of the old version end without
+     * draining.
+     */
     @Test
     void sendsNothingToTheOldVersionForASecondBeforeItCompletes() {
-        prepare();
+        startRollout();
         Instant lastOld = Instant.EPOCH;
         while (state() != State.COMPLETED) {
-            play(STEP, (now, inFlight, any) -> false);
+            runLoad(STEP, (now, inFlight, any) -> false);
             lastOld = arrivals.stream()
                     .filter(each -> each.upstream().version().equals(OLD))
                     .map(Arrival::at)
@@ -175,98 +178,98 @@
     @ParameterizedTest
     @ValueSource(doubles = {0.3, 0.46, 0.5, 1})
     void revertsAVersionThatFails(double share) {
-        prepare();
-        play(WITHIN, (now, inFlight, any) -> any.nextDouble() < share);
+        startRollout();
+        runLoad(WITHIN, (now, inFlight, any) -> any.nextDouble() < share);
         assertThat(state()).isEqualTo(State.REVERTED);
         assertExposureBounded();
     }
 
-    /** Guards against trusting a version for its first seconds only. */
+    /** Guards against a comparison that covers only the first seconds of a version. */
     @Test
     void revertsAVersionThatTurnsBadAfterSomeSeconds() {
-        prepare();
+        startRollout();
         Instant bad = world.now.plusSeconds(3);
-        play(WITHIN, (now, inFlight, any) -> now.isAfter(bad) && any.nextBoolean());
+        runLoad(WITHIN, (now, inFlight, any) -> now.isAfter(bad) && any.nextBoolean());
         assertThat(state()).isEqualTo(State.REVERTED);
         assertExposureBounded();
     }
 
-    /** Guards against a version that holds out under a small share and fails under all requests. */
+    /** Guards against a version that works under a small share of the load and fails under the full load. */
     @Test
     void revertsAVersionThatFailsUnderLoad() {
-        prepare();
-        play(WITHIN, (now, inFlight, any) -> inFlight > 4 && any.nextBoolean());
+        startRollout();
+        runLoad(WITHIN, (now, inFlight, any) -> inFlight > 4 && any.nextBoolean());
         assertThat(state()).isEqualTo(State.REVERTED);
         assertExposureBounded();
     }
 
     @Test
     void sendsNothingMoreToARevertedVersion() {
-        prepare();
+        startRollout();
         while (state() != State.REVERTED) {
-            play(STEP, (now, inFlight, any) -> any.nextBoolean());
+            runLoad(STEP, (now, inFlight, any) -> any.nextBoolean());
         }
-        play(Duration.ofMillis(300), (now, inFlight, any) -> any.nextBoolean());
+        runLoad(Duration.ofMillis(300), (now, inFlight, any) -> any.nextBoolean());
         Instant settled = world.now;
-        play(Duration.ofSeconds(3), (now, inFlight, any) -> any.nextBoolean());
+        runLoad(Duration.ofSeconds(3), (now, inFlight, any) -> any.nextBoolean());
         assertThat(arrivedAt(NEW, settled)).isZero();
     }
 
-    /** Guards against a bad version that is used again as soon as the operator clears the order that it failed. */
+    /** Guards against a reverted version that is used again once its rollout order is withdrawn. */
     @Test
     void sendsNothingToARevertedVersionWhoseOrderIsTakenBack() {
-        prepare();
-        play(WITHIN, (now, inFlight, any) -> any.nextBoolean());
+        startRollout();
+        runLoad(WITHIN, (now, inFlight, any) -> any.nextBoolean());
         assertThat(state()).isEqualTo(State.REVERTED);
         world.write(
                 FeedName.CONFIGURATION,
                 "rollout/" + ServingWorld.ORDERS,
                 new ConfigurationItem.RolloutWithdrawn(ServingWorld.ORDERS));
         Instant withdrawn = world.now;
-        play(Duration.ofSeconds(2), (now, inFlight, any) -> any.nextBoolean());
+        runLoad(Duration.ofSeconds(2), (now, inFlight, any) -> any.nextBoolean());
         assertThat(arrivedAt(NEW, withdrawn)).isZero();
         assertThat(arrivedAt(OLD, withdrawn)).isPositive();
     }
 
-    /** Guards against a rollout that stays where it is when the node that coordinates it dies. */
+    /** Guards against a rollout that stalls when its coordinator fails. */
     @Test
     void anotherNodeGoesOnWhenTheCoordinatorDies() {
-        prepare();
-        play(Duration.ofSeconds(4), (now, inFlight, any) -> false);
+        startRollout();
+        runLoad(Duration.ofSeconds(4), (now, inFlight, any) -> false);
         VmId coordinator = coordinator();
-        world.dead.add(coordinator);
+        world.failed.add(coordinator);
         for (int node = 1; node <= NODES; node++) {
             if (ServingWorld.node(node).equals(coordinator)) {
                 stopped.add(node);
             }
         }
-        play(WITHIN.minusSeconds(4), (now, inFlight, any) -> false);
+        runLoad(WITHIN.minusSeconds(4), (now, inFlight, any) -> false);
         assertThat(state()).isEqualTo(State.COMPLETED);
     }
 
     private VmId coordinator() {
         for (VmId node : world.nodes.keySet()) {
-            boolean writes = world.said.get(node).stream()
+            boolean writes = world.effectsByNode.get(node).stream()
                     .anyMatch(effect ->
                             effect instanceof ServingEffect.WriteRecord write && write.feed() == FeedName.ROLLOUTS);
             if (writes) {
                 return node;
             }
         }
-        throw new AssertionError("no node writes the status");
+        throw new AssertionError("no node has written the rollout status");
     }
 
-    /** Guards against requests for a candidate version from a node that would not hear of its end. */
+    /** Guards against requests to a candidate version from a node that would not receive its revert. */
     @Test
     void aNodeThatHearsNothingSendsNothingToAVersionOnTrial() {
-        prepare();
-        play(Duration.ofSeconds(3), (now, inFlight, any) -> false);
-        VmId deaf = ServingWorld.node(3);
-        world.cutFromStore.add(deaf);
-        world.isolated.add(deaf);
-        play(Duration.ofSeconds(4), (now, inFlight, any) -> false);
+        startRollout();
+        runLoad(Duration.ofSeconds(3), (now, inFlight, any) -> false);
+        VmId isolated = ServingWorld.node(3);
+        world.cutOffFromStore.add(isolated);
+        world.isolatedNodes.add(isolated);
+        runLoad(Duration.ofSeconds(4), (now, inFlight, any) -> false);
         Instant silent = world.now;
-        play(Duration.ofSeconds(2), (now, inFlight, any) -> false);
+        runLoad(Duration.ofSeconds(2), (now, inFlight, any) -> false);
         long fromDeaf = arrivals.stream()
                 .filter(each -> each.node() == 3 && each.at().isAfter(silent))
                 .filter(each -> each.upstream().version().equals(NEW))
@@ -274,16 +277,16 @@
         assertThat(fromDeaf).isZero();
     }
 
-    /** Guards against a node that starts after the end of a rollout and sends to the version that lost. */
+    /** Guards against a node that starts after the end of a rollout and sends requests to the losing version. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void aNodeThatStartsLaterKnowsHowItEnded(boolean good) {
-        prepare();
-        play(WITHIN, (now, inFlight, any) -> !good && any.nextBoolean());
+        startRollout();
+        runLoad(WITHIN, (now, inFlight, any) -> !good && any.nextBoolean());
         assertThat(state()).isEqualTo(good ? State.COMPLETED : State.REVERTED);
         world.start(ServingWorld.node(2), 2);
         Instant started = world.now;
-        play(Duration.ofSeconds(3), (now, inFlight, any) -> !good && any.nextBoolean());
+        runLoad(Duration.ofSeconds(3), (now, inFlight, any) -> !good && any.nextBoolean());
         assertThat(arrivedAt(good ? OLD : NEW, started)).isZero();
     }
 }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingRandomTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingRandomTest.java
@@ -22,33 +22,33 @@
 import org.wagtaillug.result.RunState;
 
 /**
- * Seeded sessions of four nodes with faults. A judge that shares no code with the decisions looks at what callers and
- * upstreams would see.
+ * Random sessions of four nodes with faults, reproducible by seed. The checks share no code with the decision logic
+ * and look only at what callers and upstreams observe.
  *
  * <p>More runs: {@code -Dwagtaillug.serving.runs=10000}.
  */
 class ServingRandomTest {
     private static final int NODES = 4;
     private static final int STEPS = 120;
-    /** A server that leaves gets nothing new from a node that has reached the store for so long. */
-    private static final Duration LEARNS_WITHIN = Duration.ofSeconds(2);
+    /** A leaving server receives no new request from a node that has reached the store for this long. */
+    private static final Duration LEAVE_PROPAGATION_TIME = Duration.ofSeconds(2);
 
     private static final int RUNS = Integer.getInteger("wagtaillug.serving.runs", 150);
 
-    /** What a judge has seen of one request. */
-    private static final class Seen {
+    /** What the checks have observed of one request. */
+    private static final class Observed {
         private final int node;
         private final boolean once;
         private final boolean repeatable;
         private int sends;
         private int mayHaveRun;
-        private boolean open;
-        private boolean began;
-        private boolean attemptBegan;
-        private boolean left;
-        private int finals;
+        private boolean awaitingEnd;
+        private boolean answerStarted;
+        private boolean attemptAnswering;
+        private boolean callerLeft;
+        private int finalAnswers;
 
-        private Seen(int node, String route) {
+        private Observed(int node, String route) {
             this.node = node;
             this.once = route.equals("confirm") || route.equals("draft");
             this.repeatable = !once;
@@ -56,9 +56,9 @@
     }
 
     @Test
-    void sessionsWithFaultsKeepEveryPromise() {
+    void sessionsWithFaultsViolateNoGuarantee() {
         for (long seed = 1; seed <= RUNS; seed++) {
-            new Session(seed).play();
+            new Session(seed).run();
         }
     }
 
@@ -66,254 +66,256 @@
         private final long seed;
         private final Random random;
         private final ServingWorld world = new ServingWorld(NODES);
-        private final Map<RequestId, Seen> requests = new HashMap<>();
-        private int judged;
-        private final Map<VmId, Instant> leftAt = new HashMap<>();
-        private final Map<VmId, Instant> cutUntil = new HashMap<>();
-        private final Set<String> released = new HashSet<>();
+        private final Map<RequestId, Observed> requests = new HashMap<>();
+        private int checked;
+        private final Map<VmId, Instant> leavingSince = new HashMap<>();
+        private final Map<VmId, Instant> storeReachableSince = new HashMap<>();
+        private final Set<String> releasedHandles = new HashSet<>();
 
         private Session(long seed) {
             this.seed = seed;
             this.random = new Random(seed);
         }
 
-        private void play() {
-            world.usual();
-            judge();
+        private void run() {
+            world.startServing();
+            check();
             for (int step = 0; step < STEPS; step++) {
-                act();
+                performRandomAction();
                 world.run(Duration.ofMillis(20L * (1 + random.nextInt(6))));
-                judge();
+                check();
             }
-            world.cutFromStore.clear();
+            world.cutOffFromStore.clear();
             world.run(Duration.ofSeconds(8));
-            judge();
-            requests.forEach((id, seen) -> {
-                boolean answered = !world.dead.contains(node(seen.node)) && !seen.left;
+            check();
+            requests.forEach((id, observed) -> {
+                boolean answered = !world.failed.contains(node(observed.node)) && !observed.callerLeft;
                 if (answered) {
-                    assertThat(seen.finals)
+                    assertThat(observed.finalAnswers)
                             .as("final answers of %s, seed %d", id, seed)
                             .isEqualTo(1);
                 }
             });
         }
 
-        private void act() {
-            int what = random.nextInt(100);
-            if (what < 45) {
-                ask();
-            } else if (what < 85) {
+        private void performRandomAction() {
+            int action = random.nextInt(100);
+            if (action < 45) {
+                sendRequest();
+            } else if (action < 85) {
                 answer();
-            } else if (what < 90) {
-                leave();
-            } else if (what < 93) {
-                cutOrHeal();
-            } else if (what < 95) {
+            } else if (action < 90) {
+                disconnectCaller();
+            } else if (action < 93) {
+                toggleStoreAccess();
+            } else if (action < 95) {
                 drainServer();
-            } else if (what < 96 && world.dead.isEmpty()) {
-                world.dead.add(node(1 + random.nextInt(NODES)));
+            } else if (action < 96 && world.failed.isEmpty()) {
+                world.failed.add(node(1 + random.nextInt(NODES)));
             } else {
                 world.answerDelay = Duration.ofMillis(2 + random.nextInt(900));
             }
         }
 
-        private void ask() {
+        private void sendRequest() {
             int node = 1 + random.nextInt(NODES);
-            if (world.dead.contains(node(node))) {
+            if (world.failed.contains(node(node))) {
                 return;
             }
             String route = List.of("confirm", "lookup", "draft", "question").get(random.nextInt(4));
             RequestId id = new RequestId(route + "-" + seed + "-" + requests.size());
-            requests.put(id, new Seen(node, route));
-            world.ask(
+            requests.put(id, new Observed(node, route));
+            world.request(
                     node,
                     id,
                     "/" + route + "/1",
                     Optional.of(ServingWorld.KEY),
                     random.nextInt(4),
                     1 + random.nextInt(8));
-            judge();
+            check();
         }
 
         private void answer() {
-            List<RequestId> open = new ArrayList<>();
-            requests.forEach((id, seen) -> {
-                if (seen.open && !world.dead.contains(node(seen.node))) {
-                    open.add(id);
+            List<RequestId> awaitingEnd = new ArrayList<>();
+            requests.forEach((id, observed) -> {
+                if (observed.awaitingEnd && !world.failed.contains(node(observed.node))) {
+                    awaitingEnd.add(id);
                 }
             });
-            if (open.isEmpty()) {
+            if (awaitingEnd.isEmpty()) {
                 return;
             }
-            open.sort(RequestId::compareTo);
-            RequestId id = open.get(random.nextInt(open.size()));
-            Seen seen = requests.get(id);
+            awaitingEnd.sort(RequestId::compareTo);
+            RequestId id = awaitingEnd.get(random.nextInt(awaitingEnd.size()));
+            Observed observed = requests.get(id);
             boolean stream = id.value().startsWith("draft") || id.value().startsWith("question");
-            if (stream && !seen.attemptBegan && random.nextBoolean()) {
-                seen.began = true;
-                seen.attemptBegan = true;
-                seen.mayHaveRun++;
-                world.begin(seen.node, id);
-                judge();
+            if (stream && !observed.attemptAnswering && random.nextBoolean()) {
+                observed.answerStarted = true;
+                observed.attemptAnswering = true;
+                observed.mayHaveRun++;
+                world.startAnswer(observed.node, id);
+                check();
                 return;
             }
-            seen.open = false;
-            if (seen.attemptBegan) {
-                endOfAnswer(id, seen);
+            observed.awaitingEnd = false;
+            if (observed.attemptAnswering) {
+                endOfAnswer(id, observed);
             } else {
-                endWithoutAnswer(id, seen, stream);
+                endWithoutAnswer(id, observed, stream);
             }
-            judge();
+            check();
         }
 
-        /** An answer that has begun ends whole or breaks off. */
-        private void endOfAnswer(RequestId id, Seen seen) {
-            boolean whole = random.nextBoolean();
-            seen.finals += whole ? 1 : 0;
-            world.end(seen.node, id, whole ? new SendEnd.Passed() : new SendEnd.Broken("reset", Optional.of("3")));
+        /** A started answer ends completely or breaks off. */
+        private void endOfAnswer(RequestId id, Observed observed) {
+            boolean complete = random.nextBoolean();
+            observed.finalAnswers += complete ? 1 : 0;
+            world.endAttempt(
+                    observed.node, id, complete ? new SendEnd.Passed() : new SendEnd.Broken("reset", Optional.of("3")));
         }
 
-        private void endWithoutAnswer(RequestId id, Seen seen, boolean stream) {
+        private void endWithoutAnswer(RequestId id, Observed observed, boolean stream) {
             switch (random.nextInt(6)) {
                 case 0 -> {
-                    seen.mayHaveRun++;
-                    world.end(seen.node, id, new SendEnd.Broken("reset", Optional.empty()));
+                    observed.mayHaveRun++;
+                    world.endAttempt(observed.node, id, new SendEnd.Broken("reset", Optional.empty()));
                 }
-                case 1 -> world.end(seen.node, id, new SendEnd.NotRun(random.nextBoolean() ? 503 : 409));
-                case 2 -> world.end(seen.node, id, new SendEnd.Unsent("refused"));
+                case 1 -> world.endAttempt(observed.node, id, new SendEnd.NotRun(random.nextBoolean() ? 503 : 409));
+                case 2 -> world.endAttempt(observed.node, id, new SendEnd.Unsent("refused"));
                 case 3 -> {
-                    seen.mayHaveRun++;
-                    world.end(seen.node, id, new SendEnd.Failed(500));
+                    observed.mayHaveRun++;
+                    world.endAttempt(observed.node, id, new SendEnd.Failed(500));
                 }
                 default -> {
                     if (stream) {
-                        seen.open = true;
+                        observed.awaitingEnd = true;
                         return;
                     }
-                    seen.mayHaveRun++;
-                    seen.finals++;
-                    world.end(seen.node, id, new SendEnd.Passed());
+                    observed.mayHaveRun++;
+                    observed.finalAnswers++;
+                    world.endAttempt(observed.node, id, new SendEnd.Passed());
                 }
             }
         }
 
-        private void leave() {
+        private void disconnectCaller() {
             List<RequestId> ids = new ArrayList<>(requests.keySet());
             if (ids.isEmpty()) {
                 return;
             }
             ids.sort(RequestId::compareTo);
             RequestId id = ids.get(random.nextInt(ids.size()));
-            Seen seen = requests.get(id);
-            if (seen.finals == 0) {
-                seen.left = true;
-                seen.open = false;
-                world.handle(node(seen.node), new ServingEvent.CallerLeft(id));
-                judge();
+            Observed observed = requests.get(id);
+            if (observed.finalAnswers == 0) {
+                observed.callerLeft = true;
+                observed.awaitingEnd = false;
+                world.handle(node(observed.node), new ServingEvent.CallerLeft(id));
+                check();
             }
         }
 
-        private void cutOrHeal() {
+        private void toggleStoreAccess() {
             VmId vm = node(1 + random.nextInt(NODES));
-            if (world.cutFromStore.remove(vm)) {
-                cutUntil.put(vm, world.now);
-            } else if (world.cutFromStore.size() < NODES - 1) {
-                world.cutFromStore.add(vm);
+            if (world.cutOffFromStore.remove(vm)) {
+                storeReachableSince.put(vm, world.now);
+            } else if (world.cutOffFromStore.size() < NODES - 1) {
+                world.cutOffFromStore.add(vm);
             }
         }
 
         private void drainServer() {
             String id = "orders-" + (1 + random.nextInt(2));
-            boolean leaving = !leftAt.containsKey(new VmId(id));
-            if (leaving && leftAt.isEmpty()) {
-                world.list(id, ORDERS, NORTH, true, Duration.ZERO);
-                leftAt.put(new VmId(id), world.now);
+            boolean leaving = !leavingSince.containsKey(new VmId(id));
+            if (leaving && leavingSince.isEmpty()) {
+                world.register(id, ORDERS, NORTH, true, Duration.ZERO);
+                leavingSince.put(new VmId(id), world.now);
             }
         }
 
-        /** Looks at what was said since the last time, in the order in which it was said. */
-        private void judge() {
-            while (judged < world.history.size()) {
-                judge(world.history.get(judged));
-                judged++;
+        /** Checks the effects since the last call, in their order. */
+        private void check() {
+            while (checked < world.effectHistory.size()) {
+                check(world.effectHistory.get(checked));
+                checked++;
             }
         }
 
-        private void judge(ServingEffect effect) {
+        private void check(ServingEffect effect) {
             switch (effect) {
                 case ServingEffect.Send send -> sent(send.order());
-                case ServingEffect.GiveUpSend giveUp -> requests.get(giveUp.request()).open = false;
+                case ServingEffect.GiveUpSend giveUp -> requests.get(giveUp.request()).awaitingEnd = false;
                 case ServingEffect.Refuse refuse -> refused(refuse);
                 case ServingEffect.Cut cut -> {
-                    Seen seen = requests.get(cut.request());
-                    seen.finals++;
-                    assertThat(seen.began)
-                            .as("%s was cut before it began, seed %d", cut.request(), seed)
+                    Observed observed = requests.get(cut.request());
+                    observed.finalAnswers++;
+                    assertThat(observed.answerStarted)
+                            .as("%s was cut before its answer started, seed %d", cut.request(), seed)
                             .isTrue();
                 }
                 case ServingEffect.PassFailure pass -> {
-                    Seen seen = requests.get(pass.request());
-                    seen.finals++;
-                    assertThat(seen.began)
-                            .as("a failure behind half of %s, seed %d", pass.request(), seed)
+                    Observed observed = requests.get(pass.request());
+                    observed.finalAnswers++;
+                    assertThat(observed.answerStarted)
+                            .as("failure response after a partial answer of %s, seed %d", pass.request(), seed)
                             .isFalse();
                 }
-                case ServingEffect.ReleaseResults release -> released.addAll(release.handles());
+                case ServingEffect.ReleaseResults release -> releasedHandles.addAll(release.handles());
                 default -> {
-                    // Not what callers or upstreams see.
+                    // Not visible to callers or upstreams.
                 }
             }
         }
 
         private void sent(SendOrder order) {
-            Seen seen = requests.get(order.request());
-            seen.sends++;
-            seen.open = true;
-            seen.attemptBegan = false;
-            assertThat(seen.finals)
-                    .as("%s is sent after its answer, seed %d", order.request(), seed)
+            Observed observed = requests.get(order.request());
+            observed.sends++;
+            observed.awaitingEnd = true;
+            observed.attemptAnswering = false;
+            assertThat(observed.finalAnswers)
+                    .as("%s is sent after its final answer, seed %d", order.request(), seed)
                     .isZero();
-            assertThat(seen.left)
-                    .as("%s is sent after its caller left, seed %d", order.request(), seed)
+            assertThat(observed.callerLeft)
+                    .as("%s is sent after its caller disconnected, seed %d", order.request(), seed)
                     .isFalse();
-            if (seen.once) {
-                assertThat(seen.mayHaveRun)
-                        .as("%s is sent again, seed %d", order.request(), seed)
+            if (observed.once) {
+                assertThat(observed.mayHaveRun)
+                        .as("%s is retried although it may have run, seed %d", order.request(), seed)
                         .isZero();
             }
             assertThat(order.inputs())
-                    .as("inputs of %s, seed %d", order.request(), seed)
-                    .noneMatch(released::contains);
-            Instant left = leftAt.get(order.upstream().id());
-            boolean known =
-                    left != null && world.now.isAfter(left.plus(LEARNS_WITHIN)) && reachesStore(node(seen.node));
+                    .as("released inputs of %s, seed %d", order.request(), seed)
+                    .noneMatch(releasedHandles::contains);
+            Instant left = leavingSince.get(order.upstream().id());
+            boolean known = left != null
+                    && world.now.isAfter(left.plus(LEAVE_PROPAGATION_TIME))
+                    && reachesStore(node(observed.node));
             assertThat(known && !order.upstream().pool().equals(MODEL))
-                    .as("%s is sent to a server that left, seed %d", order.request(), seed)
+                    .as("%s is sent to a leaving server, seed %d", order.request(), seed)
                     .isFalse();
         }
 
-        /** Whether a node has reached the store for long enough to know what is written there. */
+        /** Whether a node has reached the store for long enough to know its content. */
         private boolean reachesStore(VmId vm) {
-            Instant since = cutUntil.getOrDefault(vm, Instant.EPOCH).plus(LEARNS_WITHIN);
-            return !world.cutFromStore.contains(vm) && world.now.isAfter(since);
+            Instant since = storeReachableSince.getOrDefault(vm, Instant.EPOCH).plus(LEAVE_PROPAGATION_TIME);
+            return !world.cutOffFromStore.contains(vm) && world.now.isAfter(since);
         }
 
         private void refused(ServingEffect.Refuse refuse) {
-            Seen seen = requests.get(refuse.request());
-            seen.finals++;
-            seen.open = false;
-            assertThat(seen.began)
-                    .as("a refusal behind half of %s, seed %d", refuse.request(), seed)
+            Observed observed = requests.get(refuse.request());
+            observed.finalAnswers++;
+            observed.awaitingEnd = false;
+            assertThat(observed.answerStarted)
+                    .as("refusal after a partial answer of %s, seed %d", refuse.request(), seed)
                     .isFalse();
             if (refuse.refusal().run() == RunState.NOT_RUN) {
-                assertThat(seen.mayHaveRun)
-                        .as("%s is said not to have run, seed %d", refuse.request(), seed)
+                assertThat(observed.mayHaveRun)
+                        .as("%s is refused as not run although it may have run, seed %d", refuse.request(), seed)
                         .isZero();
                 assertThat(refuse.refusal().code().status()).isIn(503, 429, 404, 401);
             } else {
                 assertThat(refuse.refusal().code().status()).isIn(502, 504);
             }
-            assertThat(seen.repeatable || seen.mayHaveRun <= 1).isTrue();
+            assertThat(observed.repeatable || observed.mayHaveRun <= 1).isTrue();
         }
     }
 }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingShutdownRandomTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingShutdownRandomTest.java
@@ -16,39 +16,39 @@
 import org.wagtaillug.result.RunState;
 
 /**
- * Seeded sessions in which a node is asked to end under load, with graces, timeouts and upstreams of all speeds, some of
- * which hang or break.
+ * Random sessions, reproducible by seed, in which a node shuts down under load, with varying grace periods, timeouts
+ * and upstream speeds; some upstreams hang or fail.
  *
- * <p>Guests saw chats break off, and orders end without an answer, while nodes were restarted: requests were taken without a
- * look at what was left of the node's time, and what was open when it was over was never answered.
+ * <p>Guards against streams that are cut and requests that end without an answer during restarts: requests were
+ * accepted without regard to the remaining grace period, and open requests got no final answer at its end.
  *
  * <p>More runs: {@code -Dwagtaillug.shutdown.runs=10000}.
  */
 class ServingShutdownRandomTest {
     private static final int RUNS = Integer.getInteger("wagtaillug.shutdown.runs", 200);
-    private static final Duration STEP = Duration.ofMillis(20);
+    private static final Duration TICK = Duration.ofMillis(20);
     private static final Duration WARM_UP = Duration.ofSeconds(20);
     private static final List<String> ROUTES = List.of("confirm", "lookup", "draft", "question");
 
-    /** What callers and upstreams see of one request. */
-    private static final class Seen {
+    /** What callers and upstreams observe of one request. */
+    private static final class Observed {
         private final Instant askedAt;
-        private final boolean hangs;
+        private final boolean hanging;
         private int sends;
-        private int finals;
+        private int finalAnswers;
 
-        private Seen(Instant askedAt, boolean hangs) {
+        private Observed(Instant askedAt, boolean hanging) {
             this.askedAt = askedAt;
-            this.hangs = hangs;
+            this.hanging = hanging;
         }
     }
 
-    private record Due(Instant at, RequestId request, int attempt, Optional<SendEnd> end) {}
+    private record ScheduledEvent(Instant at, RequestId request, int attempt, Optional<SendEnd> end) {}
 
     @Test
-    void everyRequestThatAnEndingNodeTookIsAnswered() {
+    void everyRequestAcceptedDuringShutdownIsAnswered() {
         for (long seed = 1; seed <= RUNS; seed++) {
-            new Session(seed).play();
+            new Session(seed).run();
         }
     }
 
@@ -56,84 +56,84 @@
         private final long seed;
         private final Random random;
         private final Duration grace;
-        private final Duration patience;
-        private final Map<String, Duration> lengths = new HashMap<>();
+        private final Duration callerTimeout;
+        private final Map<String, Duration> durations = new HashMap<>();
         private final ServingWorld world;
-        private final Map<RequestId, Seen> requests = new HashMap<>();
-        private final List<Due> dues = new ArrayList<>();
+        private final Map<RequestId, Observed> requests = new HashMap<>();
+        private final List<ScheduledEvent> scheduledEvents = new ArrayList<>();
         private Optional<Instant> signalAt = Optional.empty();
-        private boolean ended;
-        private boolean closed;
-        private int judged;
+        private boolean nodeEnded;
+        private boolean portsClosed;
+        private int checked;
 
         private Session(long seed) {
             this.seed = seed;
             this.random = new Random(seed);
             this.grace = Duration.ofMillis(1000 + random.nextInt(19_000));
-            this.patience = Duration.ofMillis(500 + random.nextInt(29_500));
+            this.callerTimeout = Duration.ofMillis(500 + random.nextInt(29_500));
             for (String route : ROUTES) {
-                lengths.put(route, Duration.ofMillis(10 + random.nextInt(5000)));
+                durations.put(route, Duration.ofMillis(10 + random.nextInt(5000)));
             }
             world = new ServingWorld(1, grace);
         }
 
-        private void play() {
-            world.usual(patience);
-            judge();
-            load(WARM_UP);
+        private void run() {
+            world.startServing(callerTimeout);
+            check();
+            runLoad(WARM_UP);
             signalAt = Optional.of(world.now);
             world.handle(node(1), new ServingEvent.DrainStarted(world.now));
-            load(grace);
-            assertThat(ended).as("the node has ended, seed %d", seed).isTrue();
-            requests.forEach((id, seen) -> assertThat(seen.finals)
-                    .as("final answers of %s, asked at %s, signal at %s, seed %d", id, seen.askedAt, signalAt, seed)
+            runLoad(grace);
+            assertThat(nodeEnded).as("the node has ended, seed %d", seed).isTrue();
+            requests.forEach((id, observed) -> assertThat(observed.finalAnswers)
+                    .as("final answers of %s, asked at %s, signal at %s, seed %d", id, observed.askedAt, signalAt, seed)
                     .isEqualTo(1));
         }
 
-        private void load(Duration time) {
+        private void runLoad(Duration time) {
             Instant until = world.now.plus(time);
             while (world.now.isBefore(until)) {
                 if (random.nextInt(8) == 0) {
-                    ask();
+                    sendRequest();
                 }
-                world.run(STEP);
-                judge();
-                answerDue();
+                world.run(TICK);
+                check();
+                deliverScheduledEvents();
                 closePorts();
             }
         }
 
-        /** The process closes its ports once the node has ended and all answers are written. */
+        /** Closes the ports, as the process does once the node has ended and all answers are written. */
         private void closePorts() {
-            boolean open = requests.values().stream().anyMatch(seen -> seen.finals == 0);
-            if (ended && !closed && !open) {
-                closed = true;
+            boolean open = requests.values().stream().anyMatch(observed -> observed.finalAnswers == 0);
+            if (nodeEnded && !portsClosed && !open) {
+                portsClosed = true;
                 world.handle(node(1), new ServingEvent.PortsClosing());
-                judge();
+                check();
             }
         }
 
-        private void ask() {
+        private void sendRequest() {
             String route = ROUTES.get(random.nextInt(ROUTES.size()));
             RequestId id = new RequestId(route + "-" + requests.size());
-            requests.put(id, new Seen(world.now, random.nextInt(20) == 0));
-            world.ask(
+            requests.put(id, new Observed(world.now, random.nextInt(20) == 0));
+            world.request(
                     1,
                     id,
                     "/" + route + "/1",
                     Optional.of(ServingWorld.KEY),
-                    patience,
+                    callerTimeout,
                     random.nextInt(3),
                     random.nextInt(3));
-            judge();
+            check();
         }
 
-        private void answerDue() {
-            for (Due due : List.copyOf(dues)) {
+        private void deliverScheduledEvents() {
+            for (ScheduledEvent due : List.copyOf(scheduledEvents)) {
                 if (due.at().isAfter(world.now)) {
                     continue;
                 }
-                dues.remove(due);
+                scheduledEvents.remove(due);
                 if (due.end().isEmpty()) {
                     world.handle(node(1), new ServingEvent.AnswerBegan(due.request(), due.attempt()));
                 } else {
@@ -142,77 +142,79 @@
                             new ServingEvent.SendEnded(
                                     due.request(), due.attempt(), due.end().get()));
                 }
-                judge();
+                check();
             }
         }
 
-        private void judge() {
-            while (judged < world.history.size()) {
-                judge(world.history.get(judged));
-                judged++;
+        private void check() {
+            while (checked < world.effectHistory.size()) {
+                check(world.effectHistory.get(checked));
+                checked++;
             }
         }
 
-        private void judge(ServingEffect effect) {
+        private void check(ServingEffect effect) {
             switch (effect) {
                 case ServingEffect.Send send -> sent(send.order());
                 case ServingEffect.GiveUpSend giveUp ->
-                    dues.removeIf(due -> due.request().equals(giveUp.request()));
+                    scheduledEvents.removeIf(due -> due.request().equals(giveUp.request()));
                 case ServingEffect.Refuse refuse -> {
-                    Seen seen = requests.get(refuse.request());
-                    seen.finals++;
+                    Observed observed = requests.get(refuse.request());
+                    observed.finalAnswers++;
                     boolean notRun = refuse.refusal().run() == RunState.NOT_RUN;
-                    assertThat(notRun && seen.sends > 0)
-                            .as("%s was sent and is said not to have run, seed %d", refuse.request(), seed)
+                    assertThat(notRun && observed.sends > 0)
+                            .as("%s was sent and is refused as not run, seed %d", refuse.request(), seed)
                             .isFalse();
                 }
-                case ServingEffect.PassFailure pass -> requests.get(pass.request()).finals++;
+                case ServingEffect.PassFailure pass -> requests.get(pass.request()).finalAnswers++;
                 case ServingEffect.Cut cut -> cut(cut.request());
                 case ServingEffect.Finished finished -> passed(finished);
-                case ServingEffect.DrainFinished ignored -> ended = true;
+                case ServingEffect.DrainFinished ignored -> nodeEnded = true;
                 default -> {
-                    // Not what callers or upstreams see.
+                    // Not visible to callers or upstreams.
                 }
             }
         }
 
         private void passed(ServingEffect.Finished finished) {
             if (finished.outcome() == ServingEffect.Outcome.PASSED) {
-                requests.get(finished.request()).finals++;
+                requests.get(finished.request()).finalAnswers++;
             }
         }
 
         private void cut(RequestId request) {
-            Seen seen = requests.get(request);
-            seen.finals++;
-            boolean patient = world.now.isBefore(seen.askedAt.plus(patience));
-            boolean late = signalAt.isPresent() && !seen.askedAt.isBefore(signalAt.get());
-            assertThat(late && patient && !seen.hangs)
+            Observed observed = requests.get(request);
+            observed.finalAnswers++;
+            boolean patient = world.now.isBefore(observed.askedAt.plus(callerTimeout));
+            boolean late = signalAt.isPresent() && !observed.askedAt.isBefore(signalAt.get());
+            assertThat(late && patient && !observed.hanging)
                     .as(
                             "%s, asked at %s after the signal at %s, was cut, seed %d",
-                            request, seen.askedAt, signalAt, seed)
+                            request, observed.askedAt, signalAt, seed)
                     .isFalse();
         }
 
-        /** An upstream takes about the usual time of its route, or hangs, or breaks off before an answer. */
+        /** An upstream takes about the typical time of its route, hangs, or fails before it answers. */
         private void sent(SendOrder order) {
-            Seen seen = requests.get(order.request());
-            assertThat(closed)
+            Observed observed = requests.get(order.request());
+            assertThat(portsClosed)
                     .as("%s is sent after the ports were closed, seed %d", order.request(), seed)
                     .isFalse();
-            seen.sends++;
-            if (seen.hangs) {
+            observed.sends++;
+            if (observed.hanging) {
                 return;
             }
-            Duration usual = lengths.get(order.request().value().split("-")[0]);
+            Duration usual = durations.get(order.request().value().split("-")[0]);
             Duration takes = usual.multipliedBy(80 + random.nextInt(21)).dividedBy(100);
             if (random.nextInt(30) == 0) {
                 SendEnd broken = new SendEnd.Broken("reset", Optional.empty());
-                dues.add(new Due(world.now.plus(takes), order.request(), order.attempt(), Optional.of(broken)));
+                scheduledEvents.add(new ScheduledEvent(
+                        world.now.plus(takes), order.request(), order.attempt(), Optional.of(broken)));
                 return;
             }
-            dues.add(new Due(world.now.plus(takes.dividedBy(4)), order.request(), order.attempt(), Optional.empty()));
-            dues.add(new Due(
+            scheduledEvents.add(new ScheduledEvent(
+                    world.now.plus(takes.dividedBy(4)), order.request(), order.attempt(), Optional.empty()));
+            scheduledEvents.add(new ScheduledEvent(
                     world.now.plus(takes), order.request(), order.attempt(), Optional.of(new SendEnd.Passed())));
         }
     }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingWorld.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingWorld.java
@@ -45,8 +45,8 @@
 import org.wagtaillug.route.Step;
 
 /**
- * Several nodes with a store, stage servers and messages between them, all in memory and on one clock. Upstreams of
- * requests do nothing by themselves: a test says how each attempt ends.
+ * Simulates several nodes, a store, stage servers and messages in memory, with a common clock. Upstreams of requests
+ * take no action by themselves: a test determines how each attempt ends.
  */
 final class ServingWorld {
     static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
@@ -58,7 +58,7 @@
     static final DomainId SOUTH = new DomainId("south");
     static final String KEY = "key-of-office";
 
-    /** 150 ms a call and 20 ms a piece, six pieces a call, room for forty results of 10 kB. */
+    /** 150 ms per call and 20 ms per piece, six pieces per call, room for forty results of 10 kB. */
     static final BatchContract PIECES =
             new BatchContract(1, 6, Duration.ofMillis(150), Duration.ofMillis(20), 400_000, Duration.ofSeconds(4));
 
@@ -66,23 +66,23 @@
     private static final Duration MESSAGE_DELAY = Duration.ofMillis(2);
 
     final Map<VmId, Serving> nodes = new HashMap<>();
-    final Map<VmId, List<ServingEffect>> said = new HashMap<>();
-    final List<ServingEffect> history = new ArrayList<>();
-    final List<BatchCall> pieceCalls = new ArrayList<>();
-    final Map<String, Integer> released = new HashMap<>();
-    final Set<VmId> cutFromStore = new HashSet<>();
+    final Map<VmId, List<ServingEffect>> effectsByNode = new HashMap<>();
+    final List<ServingEffect> effectHistory = new ArrayList<>();
+    final List<BatchCall> batchCalls = new ArrayList<>();
+    final Map<String, Integer> releaseCounts = new HashMap<>();
+    final Set<VmId> cutOffFromStore = new HashSet<>();
     final Set<VmId> refusedByStore = new HashSet<>();
-    final Set<VmId> dead = new HashSet<>();
+    final Set<VmId> failed = new HashSet<>();
 
-    /** Nodes that get no messages of others. */
-    final Set<VmId> isolated = new HashSet<>();
+    /** Nodes that receive no messages from other nodes. */
+    final Set<VmId> isolatedNodes = new HashSet<>();
 
     final Map<FeedName, List<FeedRecord>> store = new HashMap<>();
     Duration answerDelay = MESSAGE_DELAY;
     Instant now = START;
     private final Duration grace;
     private final Map<Long, PoolId> pools = new HashMap<>();
-    private final Map<String, Object> contents = new HashMap<>();
+    private final Map<String, Object> decodedRecords = new HashMap<>();
     private final PriorityQueue<Delivery> deliveries = new PriorityQueue<>();
     private long sequence;
     private int results;
@@ -95,12 +95,12 @@
         }
     }
 
-    /** Starts nodes of which each knows the first one as its seed. */
+    /** Starts nodes with the first one as their seed. */
     ServingWorld(int count) {
         this(count, Duration.ofSeconds(8));
     }
 
-    /** Starts nodes that have so long to end after they were asked to. */
+    /** Starts nodes with the given grace period for their shutdown. */
     ServingWorld(int count, Duration grace) {
         this.grace = grace;
         for (FeedName name : FeedName.values()) {
@@ -115,34 +115,34 @@
         return new VmId("node-" + number);
     }
 
-    /** Starts a node, or starts it anew. */
+    /** Starts or restarts a node. */
     void start(VmId vm, long incarnation) {
-        dead.remove(vm);
+        failed.remove(vm);
         ServingSetup setup = ServingSetup.builder(new NodeId(vm, incarnation), NORTH, decoder())
                 .seed(node(1))
                 .drainGrace(grace)
                 .build();
         nodes.put(vm, new Serving(setup));
-        said.computeIfAbsent(vm, id -> new ArrayList<>());
+        effectsByNode.computeIfAbsent(vm, id -> new ArrayList<>());
     }
 
     private RecordDecoder decoder() {
         return new RecordDecoder() {
             @Override
             public ConfigurationItem configuration(FeedRecord record) {
-                return (ConfigurationItem) contents.get(text(record));
+                return (ConfigurationItem) decodedRecords.get(text(record));
             }
 
             @Override
             public DirectoryItem directory(FeedRecord record) {
                 return record.value().isEmpty()
                         ? new DirectoryItem.Removed(new VmId(record.key()))
-                        : (DirectoryItem) contents.get(text(record));
+                        : (DirectoryItem) decodedRecords.get(text(record));
             }
 
             @Override
             public RolloutItem rollout(FeedRecord record) {
-                return (RolloutItem) contents.get(text(record));
+                return (RolloutItem) decodedRecords.get(text(record));
             }
 
             @Override
@@ -152,9 +152,9 @@
 
             @Override
             public byte[] encode(RolloutStatus status) {
-                String name = "status/" + contents.size();
+                String name = "status/" + decodedRecords.size();
                 PoolId pool = pools.get(status.order());
-                contents.put(name, new RolloutItem.Reported(pool, status));
+                decodedRecords.put(name, new RolloutItem.Reported(pool, status));
                 return name.getBytes(StandardCharsets.UTF_8);
             }
         };
@@ -167,7 +167,7 @@
     /** Writes to the store. */
     void write(FeedName feed, String key, Object content) {
         String name = feed + "/" + store.get(feed).size();
-        contents.put(name, content);
+        decodedRecords.put(name, content);
         Optional<byte[]> value = Optional.of(name.getBytes(StandardCharsets.UTF_8));
         store.get(feed).add(new FeedRecord(key, store.get(feed).size(), value));
     }
@@ -181,18 +181,18 @@
         write(FeedName.CONFIGURATION, "config", new ConfigurationItem.Published(configuration));
     }
 
-    void list(String id, PoolId pool, DomainId domain, boolean leaving, Duration coldFor) {
+    void register(String id, PoolId pool, DomainId domain, boolean leaving, Duration coldFor) {
         Listing listing = new Listing(new VmId(id), 1, pool, "10.0.0.1", 80, domain, leaving, coldFor, "");
         write(FeedName.DIRECTORY, id, new DirectoryItem.Listed(listing));
     }
 
-    void list(String id, PoolId pool, String version) {
+    void register(String id, PoolId pool, String version) {
         Listing listing = new Listing(new VmId(id), 1, pool, "10.0.0.1", 80, NORTH, false, Duration.ZERO, version);
         write(FeedName.DIRECTORY, id, new DirectoryItem.Listed(listing));
     }
 
     /** Orders a rollout of a pool. */
-    void rollOut(PoolId pool, String version, Duration within) {
+    void orderRollout(PoolId pool, String version, Duration within) {
         long id = store.get(FeedName.CONFIGURATION).size();
         pools.put(id, pool);
         RolloutOrder order = new RolloutOrder(id, pool, version, within);
@@ -204,19 +204,22 @@
         List<FeedRecord> records = store.get(FeedName.ROLLOUTS);
         return records.isEmpty()
                 ? Optional.empty()
-                : Optional.of(((RolloutItem.Reported) contents.get(text(records.getLast()))).status());
+                : Optional.of(((RolloutItem.Reported) decodedRecords.get(text(records.getLast()))).status());
     }
 
-    /** Lists two servers of each pool, one in each failure domain, publishes all routes and lets nodes learn of it. */
-    void usual() {
-        usual(Duration.ofSeconds(6));
+    /**
+     * Registers two servers of each pool, one in each failure domain, publishes all routes and waits until the nodes
+     * know them.
+     */
+    void startServing() {
+        startServing(Duration.ofSeconds(6));
     }
 
-    /** The same, with routes whose callers are kept waiting for so long at most. */
-    void usual(Duration timeout) {
+    /** The same, with the given timeout of all routes. */
+    void startServing(Duration timeout) {
         for (PoolId pool : List.of(ORDERS, ENCODE, RANK, MODEL)) {
-            list(pool + "-1", pool, NORTH, false, Duration.ZERO);
-            list(pool + "-2", pool, SOUTH, false, Duration.ZERO);
+            register(pool + "-1", pool, NORTH, false, Duration.ZERO);
+            register(pool + "-2", pool, SOUTH, false, Duration.ZERO);
         }
         publish(configuration(1, timeout));
         run(Duration.ofSeconds(2));
@@ -226,7 +229,7 @@
         return configuration(version, Duration.ofSeconds(6));
     }
 
-    /** All routes, whose callers are kept waiting for so long at most. */
+    /** A configuration with all routes and the given timeout. */
     static ServingConfiguration configuration(long version, Duration timeout) {
         List<Route> routes = List.of(
                 route("confirm", RouteKind.ONCE, 1, false, timeout)
@@ -263,20 +266,20 @@
                 .resumable(resumable);
     }
 
-    /** A caller's request to a route of its name. */
-    RequestId ask(int node, String route, Integer... pieces) {
+    /** Sends a request to the route of this name. */
+    RequestId request(int node, String route, Integer... pieces) {
         sequence++;
         RequestId id = new RequestId(route + "-" + sequence);
-        ask(node, id, "/" + route + "/1", Optional.of(KEY), pieces);
+        request(node, id, "/" + route + "/1", Optional.of(KEY), pieces);
         return id;
     }
 
-    void ask(int node, RequestId id, String path, Optional<String> key, Integer... pieces) {
-        ask(node, id, path, key, Duration.ofSeconds(6), pieces);
+    void request(int node, RequestId id, String path, Optional<String> key, Integer... pieces) {
+        request(node, id, path, key, Duration.ofSeconds(6), pieces);
     }
 
-    /** A request whose caller waits for so long. */
-    void ask(int node, RequestId id, String path, Optional<String> key, Duration patience, Integer... pieces) {
+    /** Sends a request with the given timeout of its caller. */
+    void request(int node, RequestId id, String path, Optional<String> key, Duration patience, Integer... pieces) {
         handle(
                 node(node),
                 new ServingEvent.RequestArrived(new RoutedRequest(
@@ -292,37 +295,37 @@
                         Optional.empty())));
     }
 
-    /** Hands an event to a node and carries out what it wants. */
+    /** Passes an event to a node and executes its effects. */
     void handle(VmId vm, ServingEvent event) {
-        if (dead.contains(vm)) {
+        if (failed.contains(vm)) {
             return;
         }
         for (ServingEffect effect : nodes.get(vm).handle(event, now)) {
-            said.get(vm).add(effect);
-            history.add(effect);
-            carryOut(vm, effect);
+            effectsByNode.get(vm).add(effect);
+            effectHistory.add(effect);
+            execute(vm, effect);
         }
     }
 
-    private void carryOut(VmId vm, ServingEffect effect) {
+    private void execute(VmId vm, ServingEffect effect) {
         switch (effect) {
             case ServingEffect.ReadFeed read -> read(vm, read);
             case ServingEffect.SendToPeer send -> {
-                if (!isolated.contains(vm) && !isolated.contains(send.receiver())) {
-                    later(
+                if (!isolatedNodes.contains(vm) && !isolatedNodes.contains(send.receiver())) {
+                    schedule(
                             MESSAGE_DELAY.plus(delay(send)),
                             send.receiver(),
                             new ServingEvent.PeerMessageReceived(new NodeId(vm, 1), send.message()));
                 }
             }
             case ServingEffect.WriteRecord write -> write(vm, write);
-            case ServingEffect.CallBatch call -> callPieces(vm, call.call());
+            case ServingEffect.CallBatch call -> callBatch(vm, call.call());
             case ServingEffect.ReleaseResults release -> {
-                release.handles().forEach(handle -> released.merge(handle, 1, Integer::sum));
-                later(MESSAGE_DELAY, vm, new ServingEvent.ReleaseEnded(release.release(), true));
+                release.handles().forEach(handle -> releaseCounts.merge(handle, 1, Integer::sum));
+                schedule(MESSAGE_DELAY, vm, new ServingEvent.ReleaseEnded(release.release(), true));
             }
             default -> {
-                // Read from said by the tests.
+                // Tests read these from the recorded effects.
             }
         }
     }
@@ -335,20 +338,20 @@
     private void write(VmId vm, ServingEffect.WriteRecord write) {
         List<FeedRecord> records = store.get(write.feed());
         boolean asExpected = write.expectedEnd().orElse(records.size()) == records.size();
-        boolean done = asExpected && !refusedByStore.contains(vm) && !cutFromStore.contains(vm);
+        boolean done = asExpected && !refusedByStore.contains(vm) && !cutOffFromStore.contains(vm);
         if (done) {
             records.add(new FeedRecord(write.key(), records.size(), write.value()));
         }
-        later(MESSAGE_DELAY, vm, new ServingEvent.RecordWritten(write.feed(), write.key(), done));
+        schedule(MESSAGE_DELAY, vm, new ServingEvent.RecordWritten(write.feed(), write.key(), done));
     }
 
     private void read(VmId vm, ServingEffect.ReadFeed read) {
         if (refusedByStore.contains(vm)) {
-            later(MESSAGE_DELAY, vm, new ServingEvent.FeedFailed(read.feed(), "status 503"));
+            schedule(MESSAGE_DELAY, vm, new ServingEvent.FeedFailed(read.feed(), "status 503"));
             return;
         }
-        if (cutFromStore.contains(vm)) {
-            later(Duration.ofMillis(900), vm, new ServingEvent.FeedFailed(read.feed(), "cut off"));
+        if (cutOffFromStore.contains(vm)) {
+            schedule(Duration.ofMillis(900), vm, new ServingEvent.FeedFailed(read.feed(), "cut off"));
             return;
         }
         List<FeedRecord> all = store.get(read.feed());
@@ -357,7 +360,7 @@
                 Map<String, FeedRecord> newest = new HashMap<>();
                 all.forEach(record -> newest.put(record.key(), record));
                 newest.values().removeIf(record -> record.value().isEmpty());
-                later(
+                schedule(
                         MESSAGE_DELAY,
                         vm,
                         new ServingEvent.FeedListed(read.feed(), List.copyOf(newest.values()), false, all.size()));
@@ -366,30 +369,30 @@
                 List<FeedRecord> rest = all.subList((int) Math.min(from.from(), all.size()), all.size());
                 Duration wait = rest.isEmpty() ? from.longestWait().dividedBy(10) : Duration.ZERO;
                 FeedBatch batch = new FeedBatch(all.size(), false, List.copyOf(rest));
-                later(MESSAGE_DELAY.plus(wait), vm, new ServingEvent.FeedRead(read.feed(), batch));
+                schedule(MESSAGE_DELAY.plus(wait), vm, new ServingEvent.FeedRead(read.feed(), batch));
             }
         }
     }
 
-    private void callPieces(VmId vm, BatchCall call) {
-        pieceCalls.add(call);
+    private void callBatch(VmId vm, BatchCall call) {
+        batchCalls.add(call);
         List<PieceAnswer> answers = new ArrayList<>();
         for (int item = 0; item < call.items().size(); item++) {
             results++;
             answers.add(new PieceAnswer.Made("result-" + results));
         }
-        later(
+        schedule(
                 PIECES.callOf(call.items().size()),
                 vm,
                 new ServingEvent.BatchCallEnded(call.number(), new BatchCallEnd.Answered(answers)));
     }
 
-    private void later(Duration delay, VmId vm, ServingEvent event) {
+    private void schedule(Duration delay, VmId vm, ServingEvent event) {
         sequence++;
         deliveries.add(new Delivery(now.plus(delay), sequence, vm, event));
     }
 
-    /** Lets time pass. */
+    /** Advances the clock. */
     void run(Duration time) {
         Instant end = now.plus(time);
         while (now.isBefore(end)) {
@@ -406,10 +409,10 @@
         }
     }
 
-    /** The attempts that any node sent for a request. */
+    /** Returns the attempts of a request, by any node. */
     List<SendOrder> sends(RequestId request) {
         List<SendOrder> sends = new ArrayList<>();
-        for (List<ServingEffect> effects : said.values()) {
+        for (List<ServingEffect> effects : effectsByNode.values()) {
             for (ServingEffect effect : effects) {
                 if (effect instanceof ServingEffect.Send send
                         && send.order().request().equals(request)) {
@@ -420,17 +423,18 @@
         return sends;
     }
 
-    /** The final refusals of a request. */
+    /** Returns the refusals of a request. */
     List<ServingEffect.Refuse> refusals(RequestId request) {
-        return all(ServingEffect.Refuse.class).stream()
+        return effects(ServingEffect.Refuse.class).stream()
                 .filter(refuse -> refuse.request().equals(request))
                 .toList();
     }
 
-    /** All effects of a kind. */
-    <T extends ServingEffect> List<T> all(Class<T> kind) {
+    /** Returns all effects of a type. */
+    <T extends ServingEffect> List<T> effects(Class<T> kind) {
         List<T> found = new ArrayList<>();
-        said.values()
+        effectsByNode
+                .values()
                 .forEach(effects -> effects.forEach(effect -> {
                     if (kind.isInstance(effect)) {
                         found.add(kind.cast(effect));
@@ -439,15 +443,15 @@
         return found;
     }
 
-    /** Ends the newest attempt of a request. */
-    void end(int node, RequestId request, SendEnd end) {
+    /** Ends the latest attempt of a request. */
+    void endAttempt(int node, RequestId request, SendEnd end) {
         handle(
                 node(node),
                 new ServingEvent.SendEnded(request, sends(request).getLast().attempt(), end));
     }
 
-    /** The upstream of the newest attempt begins a good answer. */
-    void begin(int node, RequestId request) {
+    /** Starts a successful answer to the latest attempt of a request. */
+    void startAnswer(int node, RequestId request) {
         handle(
                 node(node),
                 new ServingEvent.AnswerBegan(request, sends(request).getLast().attempt()));
