--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/Flow.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/Flow.java
@@ -59,7 +59,8 @@
         this.customer = customer;
         this.rank = rank;
         this.arrivedAt = now;
-        Duration timeout = request.patience().compareTo(route.timeout()) < 0 ? request.patience() : route.timeout();
+        Duration timeout =
+                request.callerTimeout().compareTo(route.timeout()) < 0 ? request.callerTimeout() : route.timeout();
         this.deadline = now.plus(timeout);
         Instant firstEventLimit = now.plus(route.firstEventWithin());
         this.firstEventDeadline = firstEventLimit.isBefore(deadline) ? firstEventLimit : deadline;
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/FlowLog.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/FlowLog.java
@@ -80,7 +80,7 @@
                 .field("since_arrival_ms", millis(flow.arrivedAt(), now)));
     }
 
-    void answerBegan(Flow flow, Upstream upstream, Instant now) {
+    void answerStarted(Flow flow, Upstream upstream, Instant now) {
         write(line("answer_began", flow)
                 .field("attempt", flow.attempts())
                 .field("upstream", upstream.id())
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/InputRelease.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/InputRelease.java
@@ -28,7 +28,7 @@
     }
 
     /** Releases the inputs, which an engine has fetched when it starts its answer. */
-    void onAnswerBegan(Flow flow, Instant now) {
+    void onAnswerStarted(Flow flow, Instant now) {
         fetchTimes.onFirstEvent(flow.pool());
         if (releasesEarly(flow)) {
             release(flow, "first event", now);
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/PathEstimate.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/PathEstimate.java
@@ -30,7 +30,7 @@
      * An estimated time.
      *
      * @param waits the part that is spent in queues
-     * @param total the time, from now to the first event of the answer
+     * @param total the time from now to the first event of the answer
      */
     record Path(Duration waits, Duration total) {
         private static final Path NONE = new Path(Duration.ZERO, Duration.ZERO);
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/RequestFlows.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/RequestFlows.java
@@ -314,7 +314,7 @@
         }
         Set<VmId> excluded = flow.triedUpstreams();
         UpstreamChooser.Prompt prompt = new UpstreamChooser.Prompt(
-                flow.request().promptParts(),
+                flow.request().promptSegments(),
                 flow.request().promptTokens(),
                 steps.domainOf(flow.inputResults()),
                 flow.estimatedInputBytes());
@@ -334,7 +334,7 @@
 
     private Optional<DomainId> expectedDomain(Flow flow, Instant now) {
         UpstreamChooser.Prompt prompt = new UpstreamChooser.Prompt(
-                flow.request().promptParts(), flow.request().promptTokens(), Optional.empty(), 0);
+                flow.request().promptSegments(), flow.request().promptTokens(), Optional.empty(), 0);
         return configuration
                 .pool(flow.pool())
                 .flatMap(pool -> chooser.choose(pool, versionRule(flow), flow.triedUpstreams(), prompt, now))
@@ -383,7 +383,7 @@
         return flow.route().repeatable() && attemptsLeft && untried;
     }
 
-    void onAnswerBegan(RequestId id, int attempt, Instant now) {
+    void onAnswerStarted(RequestId id, int attempt, Instant now) {
         Flow flow = flows.get(id);
         if (flow == null || flow.attempt() != attempt || flow.target().isEmpty()) {
             return;
@@ -394,10 +394,10 @@
             addSample(flow, false, now);
         }
         finishReading(flow);
-        log.answerBegan(flow, flow.target().get(), now);
+        log.answerStarted(flow, flow.target().get(), now);
         health.onProgress(flow.target().get().id(), now);
         engineTimes.onFirstEvent(flow.pool(), flow.request().promptTokens(), Duration.between(flow.sentAt(), now), now);
-        inputs.onAnswerBegan(flow, now);
+        inputs.onAnswerStarted(flow, now);
     }
 
     /** Records that the upstream has finished reading the prompt, or will not read it. */
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/RoutedRequest.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/RoutedRequest.java
@@ -14,10 +14,10 @@
  * @param host the requested host
  * @param path the requested path
  * @param callerKey the API key of the caller
- * @param patience how long the caller waits from now
+ * @param callerTimeout how long the caller waits from now
  * @param pieces number of pieces of each step; 0 for steps that are not listed
  * @param pieceKey input of steps without predecessors
- * @param promptParts segments of the prompt, in order; empty if there is none
+ * @param promptSegments segments of the prompt, in order; empty if there is none
  * @param promptTokens length of the prompt, 0 if there is none
  * @param resumesAfter id of the last event that the caller has received of an interrupted stream
  */
@@ -26,20 +26,20 @@
         String host,
         String path,
         Optional<String> callerKey,
-        Duration patience,
+        Duration callerTimeout,
         List<Integer> pieces,
         Optional<String> pieceKey,
-        List<PrefixSegment> promptParts,
+        List<PrefixSegment> promptSegments,
         int promptTokens,
         Optional<String> resumesAfter) {
     public RoutedRequest {
         pieces = List.copyOf(pieces);
-        promptParts = List.copyOf(promptParts);
+        promptSegments = List.copyOf(promptSegments);
     }
 
     /** A hash that is equal for retries of a request under other ids, and rarely for other requests. */
     public String fingerprint() {
-        return Integer.toHexString(Objects.hash(host, path, pieces, pieceKey, promptParts, promptTokens));
+        return Integer.toHexString(Objects.hash(host, path, pieces, pieceKey, promptSegments, promptTokens));
     }
 
     /** Returns the number of pieces of a step. */
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingWorld.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingWorld.java
@@ -279,7 +279,7 @@
     }
 
     /** Sends a request with the given timeout of its caller. */
-    void request(int node, RequestId id, String path, Optional<String> key, Duration patience, Integer... pieces) {
+    void request(int node, RequestId id, String path, Optional<String> key, Duration callerTimeout, Integer... pieces) {
         handle(
                 node(node),
                 new ServingEvent.RequestArrived(new RoutedRequest(
@@ -287,7 +287,7 @@
                         "shop.example",
                         path,
                         key,
-                        patience,
+                        callerTimeout,
                         List.of(pieces),
                         Optional.of("piece-key"),
                         List.of(),
