--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/RequestFlows.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/RequestFlows.java
@@ -574,7 +574,7 @@
 
     private void cancelSend(Flow flow, Instant now) {
         if (flow.target().isPresent()) {
-            effects.accept(new ServingEffect.GiveUpSend(flow.request().id(), flow.attempt()));
+            effects.accept(new ServingEffect.CancelSend(flow.request().id(), flow.attempt()));
             finishReading(flow);
             if (!flow.answerStarted()
                     && now.isAfter(flow.sentAt().plus(flow.route().aim()))) {
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/ServingEffect.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/ServingEffect.java
@@ -30,7 +30,7 @@
      * @param request the request
      * @param attempt its attempt
      */
-    record GiveUpSend(RequestId request, int attempt) implements ServingEffect {}
+    record CancelSend(RequestId request, int attempt) implements ServingEffect {}
 
     /**
      * Send the caller a final answer from this node.
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingRandomTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingRandomTest.java
@@ -243,7 +243,7 @@
         private void check(ServingEffect effect) {
             switch (effect) {
                 case ServingEffect.Send send -> sent(send.order());
-                case ServingEffect.GiveUpSend giveUp -> requests.get(giveUp.request()).awaitingEnd = false;
+                case ServingEffect.CancelSend giveUp -> requests.get(giveUp.request()).awaitingEnd = false;
                 case ServingEffect.Refuse refuse -> refused(refuse);
                 case ServingEffect.Cut cut -> {
                     Observed observed = requests.get(cut.request());
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingShutdownRandomTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingShutdownRandomTest.java
@@ -156,7 +156,7 @@
         private void check(ServingEffect effect) {
             switch (effect) {
                 case ServingEffect.Send send -> sent(send.order());
-                case ServingEffect.GiveUpSend giveUp ->
+                case ServingEffect.CancelSend giveUp ->
                     scheduledEvents.removeIf(due -> due.request().equals(giveUp.request()));
                 case ServingEffect.Refuse refuse -> {
                     Observed observed = requests.get(refuse.request());
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingShutdownTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingShutdownTest.java
@@ -109,7 +109,7 @@
         assertThat(world.refusals(hangs))
                 .singleElement()
                 .satisfies(refuse -> assertThat(refuse.refusal().run()).isEqualTo(RunState.UNKNOWN));
-        assertThat(world.effects(ServingEffect.GiveUpSend.class)).hasSize(1);
+        assertThat(world.effects(ServingEffect.CancelSend.class)).hasSize(1);
     }
 
     /**
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingTest.java
@@ -281,7 +281,7 @@
         world.handle(node(1), new ServingEvent.CallerLeft(sent));
         world.handle(node(1), new ServingEvent.CallerLeft(waiting));
         world.run(SECOND);
-        assertThat(world.effects(ServingEffect.GiveUpSend.class)).hasSize(1);
+        assertThat(world.effects(ServingEffect.CancelSend.class)).hasSize(1);
         assertThat(world.sends(waiting)).isEmpty();
         assertThat(world.releaseCounts).hasSize(2);
         assertThat(world.nodes.get(node(1)).requests()).isZero();
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/RoutedEffects.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/RoutedEffects.java
@@ -59,7 +59,7 @@
     public void accept(ServingEffect effect) {
         switch (effect) {
             case ServingEffect.Send send -> parts.upstreams().send(send.order());
-            case ServingEffect.GiveUpSend giveUp -> parts.upstreams().giveUp(giveUp.request(), giveUp.attempt());
+            case ServingEffect.CancelSend giveUp -> parts.upstreams().giveUp(giveUp.request(), giveUp.attempt());
             case ServingEffect.Refuse refuse ->
                 parts.exchanges().find(refuse.request()).ifPresent(exchange -> exchange.refuse(refuse.refusal()));
             case ServingEffect.PassFailure pass ->
