--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/RequestFlows.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/RequestFlows.java
@@ -489,7 +489,7 @@
         }
         flow.recordExecution();
         if (!takeRetry(flow, now)) {
-            effects.accept(new ServingEffect.PassFailure(flow.request().id()));
+            effects.accept(new ServingEffect.ForwardFailure(flow.request().id()));
             finish(flow, Outcome.FAILED, "upstream failure forwarded", now);
             return;
         }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/ServingEffect.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/ServingEffect.java
@@ -45,7 +45,7 @@
      *
      * @param request the request
      */
-    record PassFailure(RequestId request) implements ServingEffect {}
+    record ForwardFailure(RequestId request) implements ServingEffect {}
 
     /**
      * Close the caller's connection: its answer has started and cannot be completed.
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingRandomTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingRandomTest.java
@@ -252,7 +252,7 @@
                             .as("%s was cut before its answer started, seed %d", cut.request(), seed)
                             .isTrue();
                 }
-                case ServingEffect.PassFailure pass -> {
+                case ServingEffect.ForwardFailure pass -> {
                     Observed observed = requests.get(pass.request());
                     observed.finalAnswers++;
                     assertThat(observed.answerStarted)
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingShutdownRandomTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingShutdownRandomTest.java
@@ -166,7 +166,7 @@
                             .as("%s was sent and is refused as not run, seed %d", refuse.request(), seed)
                             .isFalse();
                 }
-                case ServingEffect.PassFailure pass -> requests.get(pass.request()).finalAnswers++;
+                case ServingEffect.ForwardFailure pass -> requests.get(pass.request()).finalAnswers++;
                 case ServingEffect.Cut cut -> cut(cut.request());
                 case ServingEffect.Finished finished -> passed(finished);
                 case ServingEffect.DrainFinished ignored -> nodeEnded = true;
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingTest.java
@@ -173,7 +173,7 @@
         world.endAttempt(1, request, new SendEnd.Failed(500));
         world.endAttempt(1, request, new SendEnd.Failed(500));
         assertThat(world.sends(request)).hasSize(2);
-        assertThat(world.effects(ServingEffect.PassFailure.class)).hasSize(1);
+        assertThat(world.effects(ServingEffect.ForwardFailure.class)).hasSize(1);
         assertThat(world.refusals(request)).isEmpty();
     }
 
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/RoutedEffects.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/RoutedEffects.java
@@ -62,7 +62,7 @@
             case ServingEffect.CancelSend giveUp -> parts.upstreams().giveUp(giveUp.request(), giveUp.attempt());
             case ServingEffect.Refuse refuse ->
                 parts.exchanges().find(refuse.request()).ifPresent(exchange -> exchange.refuse(refuse.refusal()));
-            case ServingEffect.PassFailure pass ->
+            case ServingEffect.ForwardFailure pass ->
                 parts.exchanges().find(pass.request()).ifPresent(RoutedExchange::passFailure);
             case ServingEffect.Cut cut -> parts.exchanges().find(cut.request()).ifPresent(RoutedExchange::cut);
             case ServingEffect.Finished finished -> finish(finished);
