--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/Serving.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/Serving.java
@@ -87,7 +87,7 @@
             case ServingEvent.Tick ignored -> onTick(now);
             case ServingEvent.RequestArrived arrived -> onRequest(arrived.request(), now);
             case ServingEvent.CallerLeft left -> flows.onCallerLeft(left.request(), now);
-            case ServingEvent.AnswerBegan started -> flows.onAnswerStarted(started.request(), started.attempt(), now);
+            case ServingEvent.AnswerStarted started -> flows.onAnswerStarted(started.request(), started.attempt(), now);
             case ServingEvent.SendEnded ended -> flows.onSendEnded(ended.request(), ended.attempt(), ended.end(), now);
             case ServingEvent.BatchCallEnded ended -> orders.scheduler().onCallEnded(ended.call(), ended.end(), now);
             case ServingEvent.ReleaseEnded ended -> orders.scheduler().onReleaseEnded(ended.release(), ended.done());
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/ServingEvent.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/ServingEvent.java
@@ -36,7 +36,7 @@
      * @param request the request
      * @param attempt its attempt
      */
-    record AnswerBegan(RequestId request, int attempt) implements ServingEvent {}
+    record AnswerStarted(RequestId request, int attempt) implements ServingEvent {}
 
     /**
      * An attempt has ended; sent once for each {@link ServingEffect.Send}.
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/LoadWorld.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/LoadWorld.java
@@ -391,7 +391,7 @@
         Duration reading = ENGINE_START.plusMillis(request.kind().tokens / tokensPerMilli);
         schedule(now.plus(reading), () -> {
             recordAnswer(request, Duration.between(request.at(), now));
-            handle(new ServingEvent.AnswerBegan(order.request(), order.attempt()));
+            handle(new ServingEvent.AnswerStarted(order.request(), order.attempt()));
         });
         schedule(
                 now.plus(reading).plusMillis(300),
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingShutdownRandomTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingShutdownRandomTest.java
@@ -135,7 +135,7 @@
                 }
                 scheduledEvents.remove(due);
                 if (due.end().isEmpty()) {
-                    world.handle(node(1), new ServingEvent.AnswerBegan(due.request(), due.attempt()));
+                    world.handle(node(1), new ServingEvent.AnswerStarted(due.request(), due.attempt()));
                 } else {
                     world.handle(
                             node(1),
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingWorld.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingWorld.java
@@ -454,6 +454,6 @@
     void startAnswer(int node, RequestId request) {
         handle(
                 node(node),
-                new ServingEvent.AnswerBegan(request, sends(request).getLast().attempt()));
+                new ServingEvent.AnswerStarted(request, sends(request).getLast().attempt()));
     }
 }
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/UpstreamCaller.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/UpstreamCaller.java
@@ -102,7 +102,7 @@
                 order,
                 exchange.get(),
                 translation,
-                () -> events.accept(new ServingEvent.AnswerBegan(order.request(), order.attempt())),
+                () -> events.accept(new ServingEvent.AnswerStarted(order.request(), order.attempt())),
                 end -> ended(order, sending, end));
         request.onRequestBegin(ignored -> answer.onSent())
                 .onResponseHeaders(answer::onHead)
