--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/SendOrder.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/SendOrder.java
@@ -19,7 +19,7 @@
  * @param inputs handles of the results that the upstream fetches
  * @param resumesAfter id of the last event of an earlier attempt that the caller has received
  * @param stream whether the answer is a stream of events
- * @param mayGoElsewhere whether another upstream may get the request if this one stops responding
+ * @param retryableElsewhere whether another upstream may get the request if this one stops responding
  * @param ownConnection whether the request must not be sent on a connection that was used before
  */
 public record SendOrder(
@@ -31,5 +31,5 @@
         List<String> inputs,
         Optional<String> resumesAfter,
         boolean stream,
-        boolean mayGoElsewhere,
+        boolean retryableElsewhere,
         boolean ownConnection) {}
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/UpstreamCaller.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/UpstreamCaller.java
@@ -123,7 +123,7 @@
                         head.put(HttpHeader.CONNECTION, "close");
                     }
                 });
-        if (!order.mayGoElsewhere()) {
+        if (!order.retryableElsewhere()) {
             // Silence is no reason to end what cannot go on elsewhere: its caller waits until the deadline.
             request.idleTimeout(Math.max(1, left.plus(AFTER_DEADLINE).toMillis()), TimeUnit.MILLISECONDS);
         }
