--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/SendOrder.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/SendOrder.java
@@ -20,7 +20,7 @@
  * @param resumesAfter id of the last event of an earlier attempt that the caller has received
  * @param stream whether the answer is a stream of events
  * @param retryableElsewhere whether another upstream may get the request if this one stops responding
- * @param ownConnection whether the request must not be sent on a connection that was used before
+ * @param freshConnection whether the request must not be sent on a connection that was used before
  */
 public record SendOrder(
         RequestId request,
@@ -32,4 +32,4 @@
         Optional<String> resumesAfter,
         boolean stream,
         boolean retryableElsewhere,
-        boolean ownConnection) {}
+        boolean freshConnection) {}
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingTest.java
@@ -162,7 +162,7 @@
         world.endAttempt(1, request, new SendEnd.NotRun(503));
         assertThat(world.sends(request)).hasSize(2);
         assertThat(world.sends(request)).extracting(SendOrder::upstream).doesNotHaveDuplicates();
-        assertThat(world.sends(request)).allMatch(SendOrder::ownConnection);
+        assertThat(world.sends(request)).allMatch(SendOrder::freshConnection);
     }
 
     @Test
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/UpstreamCaller.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/UpstreamCaller.java
@@ -111,7 +111,7 @@
     }
 
     private Request request(SendOrder order, RoutedExchange exchange) {
-        HttpClient client = order.ownConnection() ? fresh : kept;
+        HttpClient client = order.freshConnection() ? fresh : kept;
         Duration left = Duration.between(clock.get(), order.deadline());
         Request request = client.newRequest(
                         order.upstream().host(), order.upstream().port())
@@ -119,7 +119,7 @@
                 .path(exchange.path())
                 .headers(head -> {
                     translation.write(ConnectionHeaders.without(exchange.head()), order, left, head);
-                    if (order.ownConnection()) {
+                    if (order.freshConnection()) {
                         head.put(HttpHeader.CONNECTION, "close");
                     }
                 });
