--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/RequestFlows.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/RequestFlows.java
@@ -75,7 +75,7 @@
     private final WarmupRateLimiter warmupLimiter;
     private final UpstreamChooser chooser;
     private final FlowSteps steps;
-    private final ServingSetup.Repeats repeats;
+    private final ServingSetup.RetryLimits retryLimits;
     private final RolloutExchange rollouts;
     private final Shutdown shutdown;
     private final RemainingTimeEstimate remainingTime = new RemainingTimeEstimate();
@@ -114,7 +114,7 @@
         StepTimes times = new StepTimes(engineTimes, features);
         this.pathEstimate = new PathEstimate(times);
         this.steps = new FlowSteps(directory, orders, times, this::expectedDomain, features);
-        this.repeats = setup.repeats();
+        this.retryLimits = setup.retryLimits();
         this.rollouts = rollouts;
         this.shutdown = shutdown;
         this.effects = effects;
@@ -220,7 +220,8 @@
 
     private RetryBudget budget(PoolId pool) {
         return budgets.computeIfAbsent(
-                pool, id -> new RetryBudget(repeats.window(), repeats.ratio(), repeats.fixed(), roster::sharers));
+                pool,
+                id -> new RetryBudget(retryLimits.window(), retryLimits.ratio(), retryLimits.fixed(), roster::sharers));
     }
 
     /** Orders the steps that are due, or sends the request when all steps are completed. */
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/ServingSetup.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/ServingSetup.java
@@ -23,7 +23,7 @@
     private final DomainId domain;
     private final RecordDecoder decoder;
     private final List<VmId> seeds;
-    private final Repeats repeats;
+    private final RetryLimits retryLimits;
     private final Duration drainGrace;
     private final PolicyFeatures features;
     private final double capacity;
@@ -39,9 +39,9 @@
      * @param ratio retries allowed per request
      * @param fixed retries allowed in addition to the ratio
      */
-    public record Repeats(Duration window, double ratio, double fixed) {
+    public record RetryLimits(Duration window, double ratio, double fixed) {
         /** The default if the settings give no limit. */
-        public static final Repeats USUAL = new Repeats(Duration.ofSeconds(10), 0.2, 50);
+        public static final RetryLimits DEFAULT = new RetryLimits(Duration.ofSeconds(10), 0.2, 50);
     }
 
     private ServingSetup(Builder builder) {
@@ -49,7 +49,7 @@
         domain = builder.domain;
         decoder = builder.decoder;
         seeds = List.copyOf(builder.seeds);
-        repeats = builder.repeats;
+        retryLimits = builder.retryLimits;
         drainGrace = builder.drainGrace;
         features = builder.features;
         capacity = builder.capacity;
@@ -83,8 +83,8 @@
     }
 
     /** The limit on retries. */
-    public Repeats repeats() {
-        return repeats;
+    public RetryLimits retryLimits() {
+        return retryLimits;
     }
 
     /** The time between the signal to shut down and the kill of the process. */
@@ -120,7 +120,7 @@
         private final DomainId domain;
         private final RecordDecoder decoder;
         private final List<VmId> seeds = new ArrayList<>();
-        private Repeats repeats = Repeats.USUAL;
+        private RetryLimits retryLimits = RetryLimits.DEFAULT;
         private Duration drainGrace = DEFAULT_GRACE;
         private PolicyFeatures features = PolicyFeatures.ALL;
         private double capacity = 1;
@@ -140,8 +140,8 @@
         }
 
         /** Sets the limit on retries. */
-        public Builder repeats(Repeats bound) {
-            repeats = bound;
+        public Builder retryLimits(RetryLimits bound) {
+            retryLimits = bound;
             return this;
         }
 
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/RoutedDaemon.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/RoutedDaemon.java
@@ -123,7 +123,7 @@
         fresh = client();
         translation = translate.apply(kept);
         ServingSetup.Builder setup = ServingSetup.builder(self, settings.node().domain(), decoder)
-                .repeats(new ServingSetup.Repeats(
+                .retryLimits(new ServingSetup.RetryLimits(
                         settings.repeats().window(),
                         settings.repeats().ratio(),
                         settings.repeats().fixed()))
