--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/FeedExchangeTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/FeedExchangeTest.java
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void followersHearOfAChangeAtOnce() {
+    void followersLearnOfAChangeAtOnce() {
         takeSouthOutOfService();
         world.run(Duration.ofMillis(400));
         assertThatAllSendNorth();
@@ -82,7 +82,7 @@
 
     /** Guards against followers that wait for failed readers. */
     @Test
-    void followersHearOfAChangeAfterTheirReadersDied() {
+    void followersLearnOfAChangeAfterTheirReadersFailed() {
         world.failed.addAll(readersWithin(Duration.ofSeconds(3)));
         takeSouthOutOfService();
         world.run(Duration.ofMillis(2600));
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void aNodeThatStartsAnewFollowsAgain() {
+    void aRestartedNodeFollowsAgain() {
         Set<VmId> readers = readersWithin(Duration.ofSeconds(3));
         VmId restarted = readers.contains(node(5)) ? node(6) : node(5);
         world.start(restarted, 2);
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/LoadTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/LoadTest.java
@@ -64,7 +64,7 @@
     }
 
     private double relativeValueWithout(double times, PolicyFeature... some) {
-        return relativeValueWithout(times, LoadWorld.USUAL_TOKENS_PER_MILLI, some);
+        return relativeValueWithout(times, LoadWorld.DEFAULT_TOKENS_PER_MILLI, some);
     }
 
     private double relativeValueWithout(double times, int tokensPerMilli, PolicyFeature... some) {
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/LoadWorld.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/LoadWorld.java
@@ -69,7 +69,7 @@
     private static final Duration ENGINE_START = Duration.ofMillis(60);
 
     /** Prompt tokens that engines read in a millisecond unless a test sets another value. */
-    static final int USUAL_TOKENS_PER_MILLI = 30;
+    static final int DEFAULT_TOKENS_PER_MILLI = 30;
 
     /** Callers arrive in groups of this size. */
     private static final int GROUP_SIZE = 3;
@@ -146,7 +146,7 @@
     private final Map<String, SentRequest> requested = new HashMap<>();
     private final Map<VmId, StageServer> servers = new HashMap<>();
     private final Map<String, DirectoryItem> directoryItems = new HashMap<>();
-    private int tokensPerMilli = USUAL_TOKENS_PER_MILLI;
+    private int tokensPerMilli = DEFAULT_TOKENS_PER_MILLI;
     private Instant now = START;
     private long sequence;
 
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/RolloutLoadTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/RolloutLoadTest.java
@@ -217,7 +217,7 @@
 
     /** Guards against a reverted version that is used again once its rollout order is withdrawn. */
     @Test
-    void sendsNothingToARevertedVersionWhoseOrderIsTakenBack() {
+    void sendsNothingToARevertedVersionWhoseOrderIsWithdrawn() {
         startRollout();
         runLoad(WITHIN, (now, inFlight, any) -> any.nextBoolean());
         assertThat(state()).isEqualTo(State.REVERTED);
@@ -233,7 +233,7 @@
 
     /** Guards against a rollout that stalls when its coordinator fails. */
     @Test
-    void anotherNodeGoesOnWhenTheCoordinatorDies() {
+    void anotherNodeTakesOverWhenTheCoordinatorFails() {
         startRollout();
         runLoad(Duration.ofSeconds(4), (now, inFlight, any) -> false);
         VmId coordinator = coordinator();
@@ -261,7 +261,7 @@
 
     /** Guards against requests to a candidate version from a node that would not receive its revert. */
     @Test
-    void aNodeThatHearsNothingSendsNothingToAVersionOnTrial() {
+    void anIsolatedNodeSendsNothingToACandidateVersion() {
         startRollout();
         runLoad(Duration.ofSeconds(3), (now, inFlight, any) -> false);
         VmId isolated = ServingWorld.node(3);
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingRandomTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingRandomTest.java
@@ -243,7 +243,7 @@
         private void check(ServingEffect effect) {
             switch (effect) {
                 case ServingEffect.Send send -> sent(send.order());
-                case ServingEffect.CancelSend giveUp -> requests.get(giveUp.request()).awaitingEnd = false;
+                case ServingEffect.CancelSend cancel -> requests.get(cancel.request()).awaitingEnd = false;
                 case ServingEffect.Refuse refuse -> refused(refuse);
                 case ServingEffect.Cut cut -> {
                     Observed observed = requests.get(cut.request());
@@ -252,11 +252,11 @@
                             .as("%s was cut before its answer started, seed %d", cut.request(), seed)
                             .isTrue();
                 }
-                case ServingEffect.ForwardFailure pass -> {
-                    Observed observed = requests.get(pass.request());
+                case ServingEffect.ForwardFailure forward -> {
+                    Observed observed = requests.get(forward.request());
                     observed.finalAnswers++;
                     assertThat(observed.answerStarted)
-                            .as("failure response after a partial answer of %s, seed %d", pass.request(), seed)
+                            .as("failure response after a partial answer of %s, seed %d", forward.request(), seed)
                             .isFalse();
                 }
                 case ServingEffect.ReleaseResults release -> releasedHandles.addAll(release.handles());
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingShutdownRandomTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingShutdownRandomTest.java
@@ -156,8 +156,8 @@
         private void check(ServingEffect effect) {
             switch (effect) {
                 case ServingEffect.Send send -> sent(send.order());
-                case ServingEffect.CancelSend giveUp ->
-                    scheduledEvents.removeIf(due -> due.request().equals(giveUp.request()));
+                case ServingEffect.CancelSend cancel ->
+                    scheduledEvents.removeIf(due -> due.request().equals(cancel.request()));
                 case ServingEffect.Refuse refuse -> {
                     Observed observed = requests.get(refuse.request());
                     observed.finalAnswers++;
@@ -166,7 +166,7 @@
                             .as("%s was sent and is refused as not run, seed %d", refuse.request(), seed)
                             .isFalse();
                 }
-                case ServingEffect.ForwardFailure pass -> requests.get(pass.request()).finalAnswers++;
+                case ServingEffect.ForwardFailure forward -> requests.get(forward.request()).finalAnswers++;
                 case ServingEffect.Cut cut -> cut(cut.request());
                 case ServingEffect.Finished finished -> passed(finished);
                 case ServingEffect.DrainFinished ignored -> nodeEnded = true;
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingShutdownTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingShutdownTest.java
@@ -117,7 +117,7 @@
      * a decision and without a log line.
      */
     @Test
-    void aStreamInItsMiddleIsCutByADecision() {
+    void anOpenStreamIsCutByADecision() {
         ServingWorld world = world(Duration.ofSeconds(4));
         RequestId open = request(world, "draft");
         world.startAnswer(1, open);
@@ -133,7 +133,7 @@
      * upstream would be executed in vain, and the caller would find its connection closed.
      */
     @Test
-    void noSecondUpstreamIsAskedThatCouldNotAnswerInTime() {
+    void noRetryGoesToAnUpstreamThatCannotAnswerInTime() {
         ServingWorld world = world(Duration.ofSeconds(4));
         for (int number = 0; number < SAMPLE_COUNT; number++) {
             RequestId known = request(world, "lookup");
@@ -155,7 +155,7 @@
      * sent to an upstream, as its caller's connection closes without an answer.
      */
     @Test
-    void nothingIsTakenOnceThePortsClose() {
+    void nothingIsAcceptedOnceThePortsClose() {
         ServingWorld world = world(Duration.ofSeconds(8));
         world.handle(node(1), new ServingEvent.DrainStarted(world.now));
         world.run(Duration.ofSeconds(3));
@@ -173,7 +173,7 @@
      * counted from then, the node would be killed with calls open that it expected to answer.
      */
     @Test
-    void aNodeThatWasAskedToEndWhileItStartedKnowsWhatIsLeft() {
+    void aNodeSignalledDuringItsStartupKnowsTheRemainingTime() {
         ServingWorld world = world(Duration.ofSeconds(4));
         RequestId hangs = request(world, "confirm");
         world.handle(node(1), new ServingEvent.DrainStarted(world.now.minusSeconds(3)));
@@ -189,7 +189,7 @@
      * answer ignored the attachment.
      */
     @Test
-    void aRequestWhoseStepsCannotBeMadeAgainIsNotSentWithoutInputs() {
+    void aRequestWhoseStepsCannotBeRepeatedIsNotSentWithoutInputs() {
         ServingWorld world = world(Duration.ofSeconds(4));
         // Steps take about 0.3 s: a stream takes 1.3 s from its arrival and 1 s from its sending, plus a quarter.
         completeStreams(world, Duration.ofSeconds(1), 1);
@@ -256,7 +256,7 @@
      * an engine and then cut.
      */
     @Test
-    void oneShortAnswerDoesNotLetInAStreamThatIsCut() {
+    void oneShortAnswerDoesNotAdmitAStreamThatIsCut() {
         ServingWorld world = world(Duration.ofSeconds(2));
         RequestId known = request(world, "draft");
         world.startAnswer(1, known);
@@ -280,7 +280,7 @@
      * lifetime of the results ends.
      */
     @Test
-    void resultsAreReleasedBeforeTheNodeSaysThatItHasEnded() {
+    void resultsAreReleasedBeforeTheNodeReportsItsEnd() {
         ServingWorld world = world(Duration.ofSeconds(4));
         RequestId open = request(world, "question", 1, 1);
         world.run(Duration.ofMillis(800));
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingTest.java
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void piecesOfSeveralNodesFillOneCall() {
+    void piecesOfSeveralNodesShareOneCall() {
         // Five callers send requests to five nodes within a few milliseconds while both servers of the pool are busy.
         // If each node made its own calls, there would be five calls with one piece each, 170 ms per call; a single
         // scheduler makes one call for all of them.
@@ -108,7 +108,7 @@
     }
 
     @Test
-    void ordersMoveWhenTheNodeThatFillsTheirCallsDies() {
+    void ordersMoveWhenTheirSchedulingNodeFails() {
         // The node that schedules a pool fails, with the orders of all other nodes in its memory. Instead of waiting
         // until their callers time out, the next node by rendezvous hashing gets the orders within two seconds.
         ServingWorld world = new ServingWorld(4);
@@ -178,7 +178,7 @@
     }
 
     @Test
-    void aStreamThatBreaksGoesOnAtAnotherEngineAfterItsLastEvent() {
+    void anInterruptedStreamResumesAtAnotherEngineAfterItsLastEvent() {
         // An engine fails during an answer of which the caller has five events, and another engine continues with the
         // sixth. The inputs that the first engine had fetched are released by then, so they are produced again for
         // the second one.
@@ -201,7 +201,7 @@
     }
 
     @Test
-    void inputsAreGivenUpWhenTheirEngineHasHadTimeToFetchThem() {
+    void inputsAreReleasedOnceTheirEngineHasHadTimeToFetchThem() {
         // An engine reads a long prompt for a second and has fetched the inputs before. If they were held until its
         // first event, they would occupy room that other requests wait for.
         ServingWorld world = new ServingWorld(1);
@@ -219,7 +219,7 @@
     }
 
     @Test
-    void inputsThatAreGivenUpAreMadeAnewForAnEngineThatHasNotFetchedThem() {
+    void releasedInputsAreProducedAgainForAnEngineThatHasNotFetchedThem() {
         // The engine has a queue, so it fetches inputs later than other engines did recently, and reports that one is
         // missing. The request was not executed, so its steps are repeated and its caller gets an answer.
         ServingWorld world = new ServingWorld(1);
@@ -239,7 +239,7 @@
     }
 
     @Test
-    void aStreamThatCannotGoOnIsCutAndNeverEndedAsWhole() {
+    void aStreamThatCannotResumeIsCutAndNeverEndedAsComplete() {
         // The engine that was to resume the stream reports that it has not run the request. A refusal at this point
         // would end the answer regularly, and a partial answer would look complete.
         ServingWorld world = new ServingWorld(1);
@@ -255,7 +255,7 @@
     }
 
     @Test
-    void aStreamWhoseInputsAreLostAndCannotBeMadeAgainIsCut() {
+    void aStreamWhoseInputsAreLostAndCannotBeProducedAgainIsCut() {
         // The engine that was to resume the stream does not find the inputs, and the pool that produces them has no
         // server left. The refusal of a request without an answer must not follow a partial answer.
         ServingWorld world = new ServingWorld(1);
@@ -273,7 +273,7 @@
     }
 
     @Test
-    void aCallerThatLeavesEndsTheWorkForIt() {
+    void aDisconnectedCallerEndsTheWorkOnItsRequest() {
         ServingWorld world = new ServingWorld(1);
         world.startServing();
         RequestId sent = world.request(1, "lookup");
@@ -302,7 +302,7 @@
     }
 
     @Test
-    void aNodeThatTheStoreTurnsAwayLearnsFromItsPeers() {
+    void aNodeThatTheStoreRefusesLearnsFromItsPeers() {
         // The store refuses one node and serves the others. An operator takes a failure domain out of service;
         // without its peers the refused node would keep sending requests there.
         ServingWorld world = new ServingWorld(3);
@@ -414,7 +414,7 @@
     }
 
     @Test
-    void aNodeThatShutsDownAnswersWhatItHasAndTellsTheRestInTime() {
+    void aNodeThatShutsDownAnswersOpenRequestsAndRefusesTheRestInTime() {
         // An operator restarts a node while one of its pools is stuck. Requests that were not sent must be refused
         // before the process ends: if their connections were closed without an answer, their callers could not tell
         // what happened.
@@ -434,7 +434,7 @@
     }
 
     @Test
-    void aRequestIsRefusedAtOnceWhenWhatWaitsTakesLongerThanItHas() {
+    void aRequestIsRefusedAtOnceWhenTheQueueExceedsItsTime() {
         ServingWorld world = new ServingWorld(1);
         world.startServing();
         List<RequestId> requests = new ArrayList<>();
@@ -479,7 +479,7 @@
      * of the servers from each other in turn.
      */
     @Test
-    void ordersThatWereNotCalledGoToTheNodeThatFillsForAll() {
+    void uncalledOrdersMoveToTheNodeThatSchedulesForAll() {
         ServingWorld world = new ServingWorld(3);
         world.startServing();
         for (int number = 1; number <= 3; number++) {
@@ -506,7 +506,7 @@
      * and cuts it when the process ends two seconds later.
      */
     @Test
-    void aNodeThatEndsTakesNoStreamThatItCouldNotFinish() {
+    void aNodeThatShutsDownAcceptsNoStreamThatItCannotFinish() {
         ServingWorld world = new ServingWorld(2);
         world.startServing();
         world.handle(node(1), new ServingEvent.DrainStarted(world.now));
@@ -559,7 +559,7 @@
      * attempts had the number 1, that report would end the second request, whose caller still waits.
      */
     @Test
-    void theLateEndOfAnAttemptThatWasGivenUpDoesNotEndTheNextRequestOfItsId() {
+    void theLateEndOfACancelledAttemptDoesNotEndTheNextRequestOfItsId() {
         ServingWorld world = new ServingWorld(1);
         world.startServing();
         RequestId id = new RequestId("asked-twice");
