--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/UpstreamCaller.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/UpstreamCaller.java
@@ -102,7 +102,7 @@
                 order,
                 exchange.get(),
                 translation,
-                () -> events.accept(new ServingEvent.AnswerBegan(order.request(), order.attempt())),
+                () -> events.accept(new ServingEvent.AnswerStarted(order.request(), order.attempt())),
                 end -> ended(order, sending, end));
         request.onRequestBegin(ignored -> answer.onSent())
                 .onResponseHeaders(answer::onHead)
@@ -111,7 +111,7 @@
     }
 
     private Request request(SendOrder order, RoutedExchange exchange) {
-        HttpClient client = order.ownConnection() ? fresh : kept;
+        HttpClient client = order.freshConnection() ? fresh : kept;
         Duration left = Duration.between(clock.get(), order.deadline());
         Request request = client.newRequest(
                         order.upstream().host(), order.upstream().port())
@@ -119,11 +119,11 @@
                 .path(exchange.path())
                 .headers(head -> {
                     translation.write(ConnectionHeaders.without(exchange.head()), order, left, head);
-                    if (order.ownConnection()) {
+                    if (order.freshConnection()) {
                         head.put(HttpHeader.CONNECTION, "close");
                     }
                 });
-        if (!order.mayGoElsewhere()) {
+        if (!order.retryableElsewhere()) {
             // Silence is no reason to end what cannot go on elsewhere: its caller waits until the deadline.
             request.idleTimeout(Math.max(1, left.plus(AFTER_DEADLINE).toMillis()), TimeUnit.MILLISECONDS);
         }
