--- a/wagtaillug-core/src/main/java/org/wagtaillug/claim/ClaimReader.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/claim/ClaimReader.java
@@ -9,20 +9,22 @@
 import org.wagtaillug.node.Effect;
 import org.wagtaillug.node.Effects;
 
-/** Follows the claims stream: at most one read at a time, each record once and in order, and notes what is missing. */
+/**
+ * Reads the claims stream with at most one read in flight, delivers each record once and in order, and detects gaps.
+ */
 final class ClaimReader {
-    /** A read that waits at the tail is answered within a second or so; after this long it has failed. */
+    /** A read that waits at the tail is answered within about a second; after this time it counts as failed. */
     static final Duration READ_TIMEOUT = Duration.ofSeconds(5);
 
-    /** Reads that fail for longer than this mean that the log is down. */
-    static final Duration DOWN_AFTER = Duration.ofSeconds(1);
+    /** The log counts as unavailable when reads have failed for longer than this. */
+    static final Duration UNAVAILABLE_AFTER = Duration.ofSeconds(1);
 
     private final Duration retention;
-    private final RetryDelay delay = new RetryDelay();
-    private long next = 1;
-    private long askedFrom;
-    private Optional<Instant> askedAt = Optional.empty();
-    private Instant notBefore = Instant.MIN;
+    private final RetryBackoff backoff = new RetryBackoff();
+    private long nextOffset = 1;
+    private long requestedFrom;
+    private Optional<Instant> pendingSince = Optional.empty();
+    private Instant nextReadAt = Instant.MIN;
     private Optional<Instant> failingSince = Optional.empty();
     private boolean caughtUp;
     private Instant completeFrom = Instant.MIN;
@@ -32,55 +34,54 @@
     }
 
     /**
-     * What a read gave that is new.
+     * The new records of a read.
      *
-     * @param entries in order, each given only once
-     * @param gap whether records between those before and these were dropped by the log unread
+     * @param entries in order; each entry is delivered only once
+     * @param gap whether the log dropped records between the previous entries and these before they were read
      */
-    record News(List<LogBatch.Entry> entries, boolean gap) {
-        private static final News NONE = new News(List.of(), false);
+    record ReadResult(List<LogBatch.Entry> entries, boolean gap) {
+        private static final ReadResult EMPTY = new ReadResult(List.of(), false);
     }
 
     void read(Instant now, Effects effects) {
-        failUnanswered(now);
-        if (askedAt.isPresent() || now.isBefore(notBefore)) {
+        timeOutPendingRead(now);
+        if (pendingSince.isPresent() || now.isBefore(nextReadAt)) {
             return;
         }
-        askedFrom = next;
-        askedAt = Optional.of(now);
-        effects.add(new Effect.ReadLog(LogStream.CLAIMS, next));
+        requestedFrom = nextOffset;
+        pendingSince = Optional.of(now);
+        effects.add(new Effect.ReadLog(LogStream.CLAIMS, nextOffset));
     }
 
-    News answered(LogBatch batch, Instant now) {
-        // The answer to a read that was given up on may still come. What it holds is new or known by its offsets, but
-        // if
-        // it is not the one that is awaited, that one has to be awaited further.
-        if (batch.from() == askedFrom) {
-            askedAt = Optional.empty();
-            delay.reset();
+    ReadResult onBatch(LogBatch batch, Instant now) {
+        // The response to a read that timed out may still arrive. Its entries are valid, but if it is not the response
+        // to the pending read, that read stays pending.
+        if (batch.from() == requestedFrom) {
+            pendingSince = Optional.empty();
+            backoff.reset();
             failingSince = Optional.empty();
         }
-        List<LogBatch.Entry> entries = unread(batch);
-        boolean gap = batch.oldest() > next;
-        if (!gap && !entries.isEmpty() && entries.getFirst().offset() != next) {
-            return News.NONE;
+        List<LogBatch.Entry> entries = unreadEntries(batch);
+        boolean gap = batch.oldest() > nextOffset;
+        if (!gap && !entries.isEmpty() && entries.getFirst().offset() != nextOffset) {
+            return ReadResult.EMPTY;
         }
         if (gap) {
             caughtUp = false;
             completeFrom = entries.isEmpty()
                     ? now.minus(retention)
                     : entries.getFirst().time();
-            next = batch.oldest();
+            nextOffset = batch.oldest();
         }
         if (!entries.isEmpty()) {
-            next = entries.getLast().offset() + 1;
+            nextOffset = entries.getLast().offset() + 1;
         }
-        caughtUp = caughtUp || next >= batch.end();
-        return new News(entries, gap);
+        caughtUp = caughtUp || nextOffset >= batch.end();
+        return new ReadResult(entries, gap);
     }
 
-    void failed(Instant now) {
-        failed(now, now);
+    void onReadFailed(Instant now) {
+        onReadFailed(now, now);
     }
 
     /** Whether every record that the log held at some moment since the start, or since the last gap, has been read. */
@@ -88,34 +89,34 @@
         return caughtUp;
     }
 
-    /** Whether reads have failed for so long that waiting for the log makes no sense. */
-    boolean down(Instant now) {
-        return failingSince.isPresent() && now.isAfter(failingSince.get().plus(DOWN_AFTER));
+    /** Whether reads have failed for so long that requests should not wait for the log. */
+    boolean isUnavailable(Instant now) {
+        return failingSince.isPresent() && now.isAfter(failingSince.get().plus(UNAVAILABLE_AFTER));
     }
 
-    /** Every record that the log service took at this time or later was read; older ones may be missing. */
+    /** Every record that the log service accepted at or after this time has been read; older ones may be missing. */
     Instant completeFrom() {
         return completeFrom;
     }
 
-    private List<LogBatch.Entry> unread(LogBatch batch) {
+    private List<LogBatch.Entry> unreadEntries(LogBatch batch) {
         List<LogBatch.Entry> entries = batch.entries();
-        int known = 0;
-        while (known < entries.size() && entries.get(known).offset() < next) {
-            known++;
+        int alreadyRead = 0;
+        while (alreadyRead < entries.size() && entries.get(alreadyRead).offset() < nextOffset) {
+            alreadyRead++;
         }
-        return entries.subList(known, entries.size());
+        return entries.subList(alreadyRead, entries.size());
     }
 
-    private void failUnanswered(Instant now) {
-        if (askedAt.isPresent() && !now.isBefore(askedAt.get().plus(READ_TIMEOUT))) {
-            failed(askedAt.get(), now);
+    private void timeOutPendingRead(Instant now) {
+        if (pendingSince.isPresent() && !now.isBefore(pendingSince.get().plus(READ_TIMEOUT))) {
+            onReadFailed(pendingSince.get(), now);
         }
     }
 
-    private void failed(Instant since, Instant now) {
-        askedAt = Optional.empty();
-        notBefore = now.plus(delay.take());
+    private void onReadFailed(Instant since, Instant now) {
+        pendingSince = Optional.empty();
+        nextReadAt = now.plus(backoff.next());
         if (failingSince.isEmpty()) {
             failingSince = Optional.of(since);
         }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/claim/ClaimFold.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/claim/ClaimTable.java
@@ -13,36 +13,38 @@
 import org.wagtaillug.result.RunState;
 
 /**
- * What the claims stream says of each key: a fold over its records in order of offset, the same at every node.
+ * The current holder of each key, derived by applying the records of the claims stream in order of offset. Every node
+ * that has read to the same offset has the same table.
  *
- * <p>The first claim of a key wins. After the winner's own word that it never sent and never will, the next claim of the
- * key wins; claims that lost before that stay lost. Outcomes and abandonments count only under the winner's claim id.
+ * <p>The first claim of a key wins. If the winner records that it never sent the request and never will, the next claim
+ * of the key wins; claims that were lost before that stay lost. Outcomes and abandonments count only under the winner's
+ * claim id.
  */
-final class ClaimFold {
+final class ClaimTable {
     /**
      * The claim that holds a key.
      *
-     * @param claimId names the claim
-     * @param claimer the node that made it
-     * @param bodyDigest what the key was used for
-     * @param time when the log service took the claim
-     * @param state what became of it
+     * @param claimId id of the claim
+     * @param claimer the node that made the claim
+     * @param bodyDigest digest of the template and body that the key was used with
+     * @param claimedAt when the log service accepted the claim
+     * @param state the state of the claim
      */
-    record Holder(String claimId, NodeId claimer, String bodyDigest, Instant time, State state) {
-        private Holder with(State next) {
-            return new Holder(claimId, claimer, bodyDigest, time, next);
+    record Holder(String claimId, NodeId claimer, String bodyDigest, Instant claimedAt, State state) {
+        private Holder withState(State next) {
+            return new Holder(claimId, claimer, bodyDigest, claimedAt, next);
         }
     }
 
-    /** What became of a winning claim. */
+    /** The state of a winning claim. */
     sealed interface State {
-        /** The holder may send, or has sent, or is dead. */
+        /** The holder may still send, has sent, or has crashed. */
         record Running() implements State {}
 
         /** The holder has recorded its outcome. */
         record Settled(ResultCode code, RunState run, Payload output) implements State {}
 
-        /** The holder never sent and never will. */
+        /** The holder never sent the request and never will. */
         record Abandoned() implements State {}
     }
 
@@ -50,71 +52,70 @@
     private static final State ABANDONED = new State.Abandoned();
 
     private final Duration retention;
-    /** In the order of their claims, so that the oldest are found first. */
+    /** Ordered by claim time, so that the oldest come first. */
     private final Map<String, Holder> holders = new LinkedHashMap<>();
 
-    private Instant newest = Instant.MIN;
+    private Instant latestLogTime = Instant.MIN;
 
-    ClaimFold(Duration retention) {
+    ClaimTable(Duration retention) {
         this.retention = retention;
     }
 
-    /** Takes in the next record; tells whether it changed anything. */
-    boolean apply(ClaimRecord record, Instant time) {
+    /** Applies the next record. Returns whether it changed the table. */
+    boolean apply(ClaimRecord record, Instant claimedAt) {
         Holder holder = holders.get(record.key());
         return switch (record) {
-            case ClaimRecord.Claimed claimed -> claim(holder, claimed, time);
+            case ClaimRecord.Claimed claimed -> claim(holder, claimed, claimedAt);
             case ClaimRecord.Settled settled ->
                 finish(holder, settled, new State.Settled(settled.code(), settled.run(), settled.output()));
             case ClaimRecord.Abandoned abandoned -> finish(holder, abandoned, ABANDONED);
         };
     }
 
-    /** The claim that won a key last, also one that was abandoned; empty if none is known. */
+    /** The latest claim that won the key, including an abandoned one; empty if none is known. */
     Optional<Holder> holder(String key) {
         return Optional.ofNullable(holders.get(key));
     }
 
-    /** How many keys are held in memory. */
     int size() {
         return holders.size();
     }
 
-    /** Forgets keys that were claimed longer ago than the log keeps records, by the log's own clock. */
-    void forgetOld(Instant logTime) {
-        if (logTime.isAfter(newest)) {
-            newest = logTime;
+    /** Evicts keys that were claimed longer ago than the log's retention, measured by the log service's clock. */
+    void evictExpired(Instant logTime) {
+        if (logTime.isAfter(latestLogTime)) {
+            latestLogTime = logTime;
         }
-        Instant horizon = newest.minus(retention);
+        Instant cutoff = latestLogTime.minus(retention);
         Iterator<Holder> oldest = holders.values().iterator();
-        while (oldest.hasNext() && oldest.next().time().isBefore(horizon)) {
+        while (oldest.hasNext() && oldest.next().claimedAt().isBefore(cutoff)) {
             oldest.remove();
         }
     }
 
-    /** Forgets everything: records between what was read and what comes next are lost. */
+    /** Clears the table after a gap: records between those that were read and those that come next are lost. */
     void clear() {
         holders.clear();
     }
 
-    private boolean claim(Holder holder, ClaimRecord.Claimed claimed, Instant time) {
+    private boolean claim(Holder holder, ClaimRecord.Claimed claimed, Instant claimedAt) {
         if (holder != null && !(holder.state() instanceof State.Abandoned)) {
             return false;
         }
         holders.remove(claimed.key());
-        Holder winner = new Holder(claimed.claimId(), claimed.claimer(), claimed.bodyDigest(), time, RUNNING);
+        Holder winner = new Holder(claimed.claimId(), claimed.claimer(), claimed.bodyDigest(), claimedAt, RUNNING);
         holders.put(claimed.key(), winner);
         return true;
     }
 
-    private boolean finish(Holder holder, ClaimRecord record, State end) {
+    private boolean finish(Holder holder, ClaimRecord record, State endState) {
         if (holder == null || !holder.claimId().equals(record.claimId())) {
             return false;
         }
         if (!(holder.state() instanceof State.Running)) {
             return false;
         }
-        holders.put(record.key(), holder.with(end));
+        holders.put(record.key(), holder.withState(endState));
         return true;
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/claim/ClaimWriter.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/claim/ClaimWriter.java
@@ -18,159 +18,159 @@
 import org.wagtaillug.node.Effects;
 
 /**
- * Appends what waits to be written, many records in one append and one append at a time, at a rate that leaves room for
- * the other nodes.
+ * Appends queued records to the claims stream, many records per append and one append at a time, at a rate that leaves
+ * capacity for the other nodes.
  *
- * <p>An outcome or an abandonment may be appended any number of times, since the fold counts the first one only. A claim
- * is another matter: an append whose answer was lost may have taken effect, or may still do so after the claim's
- * request was told that it did not run. So a claim that may be on its way is never appended again.
+ * <p>Outcomes and abandonments can safely be appended more than once because the claim table counts only the first one.
+ * Claims can not: an append whose acknowledgement was lost may already be on the log, or may reach it after the request
+ * was told that it did not run. A claim that may be in flight is therefore never appended again.
  */
 final class ClaimWriter {
-    /** The most bytes of one batch; the log service takes 262,144. */
-    static final int LARGEST_BATCH = 200_000;
+    /** Maximum size of a batch in bytes, below the log service's limit of 262,144 bytes per record. */
+    static final int MAX_BATCH_BYTES = 200_000;
 
-    /** The most bytes of an answer that can be recorded. */
-    static final int LARGEST_OUTPUT = 190_000;
+    /** Maximum size in bytes of a response that can be recorded as an outcome. */
+    static final int MAX_OUTPUT_BYTES = 190_000;
 
-    /** An append that is not answered for so long counts as one that may or may not take effect. */
+    /** An append that is not acknowledged within this time is treated as one that may or may not take effect. */
     static final Duration APPEND_TIMEOUT = Duration.ofSeconds(5);
 
-    /** Field numbers, lengths and times of one record, generously. */
-    private static final int RECORD_OVERHEAD = 200;
+    /** Generous upper bound for the field tags, lengths and timestamps of one record, in bytes. */
+    private static final int RECORD_OVERHEAD_BYTES = 200;
 
     /**
-     * One append on its way.
+     * An append that has been sent and not yet acknowledged.
      *
-     * @param append its number
-     * @param records what it holds
+     * @param append the append number
+     * @param records the records in the batch
      * @param sentAt when it was sent
      */
-    private record Sent(long append, List<ClaimRecord> records, Instant sentAt) {}
-
-    private final Duration batchEvery;
-    private final AppendBudget budget;
-    private final Deque<ClaimRecord> waiting = new ArrayDeque<>();
-    private final RetryDelay delay = new RetryDelay();
-    private final Set<Long> givenUp = new HashSet<>();
-    private Optional<Sent> sent = Optional.empty();
-    private Instant notBefore = Instant.MIN;
-
-    ClaimWriter(Duration batchEvery, int appendsPerSecond) {
-        this.batchEvery = batchEvery;
-        this.budget = new AppendBudget(appendsPerSecond);
+    private record InFlightAppend(long append, List<ClaimRecord> records, Instant sentAt) {}
+
+    private final Duration minAppendInterval;
+    private final AppendRateLimiter rateLimiter;
+    private final Deque<ClaimRecord> queue = new ArrayDeque<>();
+    private final RetryBackoff backoff = new RetryBackoff();
+    private final Set<Long> timedOutAppends = new HashSet<>();
+    private Optional<InFlightAppend> inFlight = Optional.empty();
+    private Instant nextAppendAt = Instant.MIN;
+
+    ClaimWriter(Duration minAppendInterval, int appendsPerSecond) {
+        this.minAppendInterval = minAppendInterval;
+        this.rateLimiter = new AppendRateLimiter(appendsPerSecond);
     }
 
     void add(ClaimRecord record) {
-        waiting.add(record);
+        queue.add(record);
     }
 
-    /** Takes back a record that was not sent yet; tells whether it was still there. */
+    /** Removes a record that has not been sent yet. Returns whether it was still queued. */
     boolean remove(ClaimRecord record) {
-        return waiting.remove(record);
+        return queue.remove(record);
     }
 
-    /** A record showed on the log, so it need not be written again if its answer was lost. */
-    void readBack(ClaimRecord record) {
-        waiting.remove(record);
+    /** Drops a record that was read from the log, so that it is not appended again if its acknowledgement was lost. */
+    void confirm(ClaimRecord record) {
+        queue.remove(record);
     }
 
     boolean idle() {
-        return waiting.isEmpty() && sent.isEmpty();
+        return queue.isEmpty() && inFlight.isEmpty();
     }
 
     /**
-     * Appends what waits if it is time to.
+     * Appends queued records if no append is in flight and the rate limit allows it.
      *
-     * @param wanted which claims are still to be made; the others are dropped unsent
+     * @param stillNeeded which records still have to be written; the others are dropped from the queue
      */
-    void flush(Predicate<ClaimRecord> wanted, Instant now, Effects effects) {
-        giveUpUnanswered(now);
-        if (sent.isPresent() || now.isBefore(notBefore)) {
+    void flush(Predicate<ClaimRecord> stillNeeded, Instant now, Effects effects) {
+        timeOutInFlightAppend(now);
+        if (inFlight.isPresent() || now.isBefore(nextAppendAt)) {
             return;
         }
-        waiting.removeIf(wanted.negate());
-        if (waiting.isEmpty() || !budget.take(now)) {
+        queue.removeIf(stillNeeded.negate());
+        if (queue.isEmpty() || !rateLimiter.tryAcquire(now)) {
             return;
         }
         List<ClaimRecord> records = nextBatch();
         long append = effects.nextAppend();
-        sent = Optional.of(new Sent(append, records, now));
-        notBefore = now.plus(batchEvery);
+        inFlight = Optional.of(new InFlightAppend(append, records, now));
+        nextAppendAt = now.plus(minAppendInterval);
         effects.add(new Effect.AppendToLog(append, LogStream.CLAIMS, new LogRecord.ClaimBatch(records)));
     }
 
-    /** An append was answered; tells whether it was one of these. */
-    boolean appended(long append) {
-        if (isCurrent(append)) {
-            sent = Optional.empty();
-            delay.reset();
+    /** Handles the acknowledgement of an append. Returns whether the append was sent by this writer. */
+    boolean onAppended(long append) {
+        if (isInFlight(append)) {
+            inFlight = Optional.empty();
+            backoff.reset();
             return true;
         }
-        return givenUp.remove(append);
+        return timedOutAppends.remove(append);
     }
 
-    /** An append failed; tells whether it was one of these. */
-    boolean failed(long append, boolean mayTakeEffect, Instant now) {
-        if (!isCurrent(append)) {
-            return givenUp.remove(append);
+    /** Handles a failed append. Returns whether the append was sent by this writer. */
+    boolean onAppendFailed(long append, boolean mayTakeEffect, Instant now) {
+        if (!isInFlight(append)) {
+            return timedOutAppends.remove(append);
         }
-        takeBack(mayTakeEffect, now);
+        requeue(mayTakeEffect, now);
         return true;
     }
 
-    private boolean isCurrent(long append) {
-        return sent.isPresent() && sent.get().append() == append;
+    private boolean isInFlight(long append) {
+        return inFlight.isPresent() && inFlight.get().append() == append;
     }
 
-    private void giveUpUnanswered(Instant now) {
-        if (sent.isEmpty() || now.isBefore(sent.get().sentAt().plus(APPEND_TIMEOUT))) {
+    private void timeOutInFlightAppend(Instant now) {
+        if (inFlight.isEmpty() || now.isBefore(inFlight.get().sentAt().plus(APPEND_TIMEOUT))) {
             return;
         }
-        givenUp.add(sent.get().append());
-        takeBack(true, now);
+        timedOutAppends.add(inFlight.get().append());
+        requeue(true, now);
     }
 
-    private void takeBack(boolean mayTakeEffect, Instant now) {
-        List<ClaimRecord> records = sent.orElseThrow().records();
-        sent = Optional.empty();
-        notBefore = now.plus(delay.take());
+    private void requeue(boolean mayTakeEffect, Instant now) {
+        List<ClaimRecord> records = inFlight.orElseThrow().records();
+        inFlight = Optional.empty();
+        nextAppendAt = now.plus(backoff.next());
         for (int index = records.size() - 1; index >= 0; index--) {
             ClaimRecord record = records.get(index);
-            // A second copy of a claim that did take effect could win after the first was abandoned.
+            // If the first copy of the claim did take effect and is abandoned later, a second copy could win the key.
             if (mayTakeEffect && record instanceof ClaimRecord.Claimed) {
                 continue;
             }
-            waiting.addFirst(record);
+            queue.addFirst(record);
         }
     }
 
     private List<ClaimRecord> nextBatch() {
         List<ClaimRecord> records = new ArrayList<>();
         int size = 0;
-        while (!waiting.isEmpty()) {
-            int added = sizeOf(waiting.getFirst());
-            if (!records.isEmpty() && size + added > LARGEST_BATCH) {
+        while (!queue.isEmpty()) {
+            int recordBytes = estimatedBytes(queue.getFirst());
+            if (!records.isEmpty() && size + recordBytes > MAX_BATCH_BYTES) {
                 break;
             }
-            size += added;
-            records.add(waiting.removeFirst());
+            size += recordBytes;
+            records.add(queue.removeFirst());
         }
         return List.copyOf(records);
     }
 
-    private static int sizeOf(ClaimRecord record) {
-        int size = RECORD_OVERHEAD + bytes(record.key()) + bytes(record.claimId());
+    private static int estimatedBytes(ClaimRecord record) {
+        int size = RECORD_OVERHEAD_BYTES + utf8Length(record.key()) + utf8Length(record.claimId());
         return switch (record) {
             case ClaimRecord.Claimed claimed ->
                 size
-                        + bytes(claimed.bodyDigest())
-                        + bytes(claimed.claimer().vm().value());
+                        + utf8Length(claimed.bodyDigest())
+                        + utf8Length(claimed.claimer().vm().value());
             case ClaimRecord.Settled settled -> size + settled.output().size();
             case ClaimRecord.Abandoned ignored -> size;
         };
     }
 
-    private static int bytes(String text) {
+    private static int utf8Length(String text) {
         return text.getBytes(StandardCharsets.UTF_8).length;
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/claim/Claims.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/claim/Claims.java
@@ -28,103 +28,108 @@
 import org.wagtaillug.result.RunState;
 
 /**
- * Decides which request with an idempotency key may run, so that no key runs twice, whichever nodes its caller tries.
+ * Decides which of the requests with the same idempotency key may run, so that no key runs twice, whichever nodes its
+ * caller tries.
  *
  * <pre>{@code
  * Claims claims = Claims.builder(self).retention(Duration.ofHours(1)).build();
- * claims.ask(request, key, bodyDigest, deadline, now, effects);
- * for (Verdict verdict : claims.verdicts()) { ... }
+ * claims.requestClaim(request, key, bodyDigest, deadline, now, effects);
+ * for (ClaimResult verdict : claims.results()) { ... }
  * }</pre>
  *
- * <p>After each call, {@link #verdicts()} gives what was decided by it.
+ * <p>After each call, {@link #results()} returns the results of that call.
  */
 public final class Claims {
-    /** How long a claim that was given up and may still show on the log is waited for before {@link #idle()}. */
-    private static final Duration WATCH = Duration.ofSeconds(30);
+    /** How long {@link #idle()} stays false for a claim that was given up while its append may still reach the log. */
+    private static final Duration LATE_CLAIM_WAIT = Duration.ofSeconds(30);
 
     private final NodeId self;
     private final LongFunction<String> claimIds;
     private final Predicate<NodeId> members;
-    private final KeyAge keyAge;
-    private final ClaimFold fold;
+    private final KeyAgeLimits keyAge;
+    private final ClaimTable claimTable;
     private final ClaimReader reader;
     private final ClaimWriter writer;
-    private final Map<RequestId, Ask> asks = new LinkedHashMap<>();
-    private final Map<String, Set<Ask>> asksByKey = new HashMap<>();
-    /** Asks by the claim that they wait to read on the log. A claim that is not in here can never win for this node. */
-    private final Map<String, Ask> asksByClaim = new HashMap<>();
+    private final Map<RequestId, PendingRequest> pendingRequests = new LinkedHashMap<>();
+    private final Map<String, Set<PendingRequest>> pendingByKey = new HashMap<>();
+    /**
+     * Pending requests by the id of the claim that they wait to read back. A claim without an entry can never win for
+     * this node.
+     */
+    private final Map<String, PendingRequest> pendingByClaim = new HashMap<>();
 
-    private final Map<RequestId, ClaimRecord.Claimed> held = new HashMap<>();
-    /** Claims that were given up on their way to the log, and since when. */
-    private final Map<String, Instant> watched = new LinkedHashMap<>();
+    private final Map<RequestId, ClaimRecord.Claimed> heldClaims = new HashMap<>();
+    /** Claims that were given up while their append was in flight, with the time when they were given up. */
+    private final Map<String, Instant> claimsGivenUpInFlight = new LinkedHashMap<>();
 
-    private final List<Verdict> verdicts = new ArrayList<>();
-    private long lastClaim;
+    private final List<ClaimResult> results = new ArrayList<>();
+    private long lastClaimNumber;
 
     private Claims(Builder builder) {
         this.self = builder.self;
         this.claimIds = builder.claimIds;
         this.members = builder.members;
-        this.keyAge = new KeyAge(builder.retention);
-        this.fold = new ClaimFold(builder.retention);
+        this.keyAge = new KeyAgeLimits(builder.retention);
+        this.claimTable = new ClaimTable(builder.retention);
         this.reader = new ClaimReader(builder.retention);
-        this.writer = new ClaimWriter(builder.batchEvery, builder.appendsPerSecond);
+        this.writer = new ClaimWriter(builder.minAppendInterval, builder.appendsPerSecond);
     }
 
-    /** Starts the claims of a node with the defaults that the builder's methods state. */
+    /** Starts a builder with the defaults that are stated at the builder's methods. */
     public static Builder builder(NodeId self) {
         return new Builder(self);
     }
 
-    /** Time passed: gives up what has expired, reads on, and appends what waits. */
+    /** Refuses expired requests, sends the next read and appends queued records. */
     public void onTick(Instant now, Effects effects) {
         reader.read(now, effects);
-        sweep(now);
-        watched.values().removeIf(since -> now.isAfter(since.plus(WATCH)));
+        refuseExpired(now);
+        claimsGivenUpInFlight.values().removeIf(since -> now.isAfter(since.plus(LATE_CLAIM_WAIT)));
         flush(now, effects);
     }
 
     /**
-     * A read of the claims stream was answered.
+     * Handles the response to a read of the claims stream.
      *
-     * @param askedAt when the read was sent; nothing is decided by it, since a win rests on what was read, not on when
+     * @param askedAt when the read was sent; not used, because whether a claim won depends only on the order of the
+     *     records
      */
     public void onLogRead(Instant askedAt, LogBatch batch, Instant now, Effects effects) {
-        ClaimReader.News news = reader.answered(batch, now);
-        sweep(now);
-        if (news.gap()) {
-            startOver(now);
+        ClaimReader.ReadResult result = reader.onBatch(batch, now);
+        refuseExpired(now);
+        if (result.gap()) {
+            resetAfterGap(now);
         }
-        Set<String> touched = new LinkedHashSet<>();
-        for (LogBatch.Entry entry : news.entries()) {
+        Set<String> changedKeys = new LinkedHashSet<>();
+        for (LogBatch.Entry entry : result.entries()) {
             if (entry.record() instanceof LogRecord.ClaimBatch claims) {
-                apply(claims, entry.time(), now, effects, touched);
+                apply(claims, entry.time(), now, effects, changedKeys);
             }
-            fold.forgetOld(entry.time());
+            claimTable.evictExpired(entry.time());
         }
-        for (String key : touched) {
+        for (String key : changedKeys) {
             resolveAll(key, now);
         }
-        if (!news.entries().isEmpty()) {
+        if (!result.entries().isEmpty()) {
             reader.read(now, effects);
         }
         flush(now, effects);
     }
 
-    /** A read of the claims stream failed. */
+    /** Handles a failed read of the claims stream. */
     public void onLogReadFailed(Instant now, Effects effects) {
-        reader.failed(now);
-        sweep(now);
+        reader.onReadFailed(now);
+        refuseExpired(now);
         flush(now, effects);
     }
 
     /**
-     * An append was answered. Nothing is concluded from it: where the claim stands is learnt by reading.
+     * Handles the acknowledgement of an append. Whether a claim won is decided only when it is read back.
      *
-     * @return whether the append was one of these
+     * @return whether the append was sent by this instance
      */
     public boolean onAppended(long append, long offset, Instant now, Effects effects) {
-        if (!writer.appended(append)) {
+        if (!writer.onAppended(append)) {
             return false;
         }
         flush(now, effects);
@@ -132,83 +137,84 @@
     }
 
     /**
-     * An append failed or was not answered.
+     * Handles an append that failed or was not acknowledged.
      *
-     * @return whether the append was one of these
+     * @return whether the append was sent by this instance
      */
     public boolean onAppendFailed(long append, boolean mayTakeEffect, Instant now, Effects effects) {
-        if (!writer.failed(append, mayTakeEffect, now)) {
+        if (!writer.onAppendFailed(append, mayTakeEffect, now)) {
             return false;
         }
-        sweep(now);
+        refuseExpired(now);
         flush(now, effects);
         return true;
     }
 
     /**
-     * Asks to run a key.
+     * Requests a claim of a key.
      *
-     * @param request who asks; not one that is waiting or holds a key already
-     * @param key the key
-     * @param bodyDigest of template and body: the same key with another one is refused
-     * @param deadline when the request gets its verdict at the latest
+     * @param request the request; must not be pending or hold a key already
+     * @param key the idempotency key
+     * @param bodyDigest digest of template and body; the same key with a different digest is refused
+     * @param deadline the latest time at which the request gets its result
      */
-    public void ask(
+    public void requestClaim(
             RequestId request, IdempotencyKey key, String bodyDigest, Instant deadline, Instant now, Effects effects) {
-        if (asks.containsKey(request) || held.containsKey(request)) {
-            throw new IllegalArgumentException("request " + request + " has asked before; expected a new id");
+        if (pendingRequests.containsKey(request) || heldClaims.containsKey(request)) {
+            throw new IllegalArgumentException(
+                    "request " + request + " is already pending or holds a key; expected a new id");
         }
         if (!now.isBefore(deadline)) {
-            verdicts.add(new Verdict.Refused(request, Refusals.deadlinePassed(key)));
+            results.add(new ClaimResult.Refused(request, Refusals.deadlinePassed(key)));
             return;
         }
         if (keyAge.tooNew(key.issuedAt(), now)) {
-            verdicts.add(new Verdict.Refused(request, Refusals.tooNew(key)));
+            results.add(new ClaimResult.Refused(request, Refusals.tooNew(key)));
             return;
         }
-        Ask ask = new Ask(request, key, bodyDigest, now, deadline);
-        asks.put(request, ask);
-        asksByKey
+        PendingRequest pending = new PendingRequest(request, key, bodyDigest, now, deadline);
+        pendingRequests.put(request, pending);
+        pendingByKey
                 .computeIfAbsent(key.identity(), ignored -> new LinkedHashSet<>())
-                .add(ask);
-        resolve(ask, now);
+                .add(pending);
+        resolve(pending, now);
         flush(now, effects);
     }
 
     /**
-     * The request that won has its outcome, which from now on answers all others with its key.
+     * Records the outcome of a request that won its key. It is returned to all later requests with the key.
      *
-     * @param run whether it took effect; {@code UNKNOWN} when a byte may have left and no answer came
-     * @param output the answer to repeat; one of over 190,000 bytes is not kept, and repeated as
-     *     {@link ResultCode#TOO_LARGE}
+     * @param run whether the request took effect; {@code UNKNOWN} if a byte may have been sent and no response arrived
+     * @param output the response to return; one of more than 190,000 bytes is not recorded, and {@link
+     *     ResultCode#TOO_LARGE} is recorded instead
      * @return whether the request held a key
      */
-    public boolean settled(
+    public boolean recordOutcome(
             RequestId request, ResultCode code, RunState run, Payload output, Instant now, Effects effects) {
-        ClaimRecord.Claimed claim = held.remove(request);
+        ClaimRecord.Claimed claim = heldClaims.remove(request);
         if (claim == null) {
             return false;
         }
-        boolean kept = output.size() <= ClaimWriter.LARGEST_OUTPUT;
-        ResultCode recorded = kept ? code : ResultCode.TOO_LARGE;
-        writer.add(new ClaimRecord.Settled(claim.key(), claim.claimId(), recorded, run, kept ? output : Payload.EMPTY));
+        boolean fits = output.size() <= ClaimWriter.MAX_OUTPUT_BYTES;
+        ResultCode recorded = fits ? code : ResultCode.TOO_LARGE;
+        writer.add(new ClaimRecord.Settled(claim.key(), claim.claimId(), recorded, run, fits ? output : Payload.EMPTY));
         flush(now, effects);
         return true;
     }
 
     /**
-     * The request is given up. If it has won, the caller of this method vouches that nothing was sent for it and nothing
-     * ever will be; others may then run the key. If it still waits, it gets no verdict any more.
+     * Gives up a request. If it has won its key, the caller guarantees that nothing was sent for it and nothing ever
+     * will be; other requests may then run the key. If it is still pending, it gets no result.
      *
-     * @return whether the request held a key or waited for one
+     * @return whether the request held a key or was pending
      */
     public boolean abandon(RequestId request, Instant now, Effects effects) {
-        Ask ask = asks.get(request);
-        if (ask != null) {
-            close(ask, now);
+        PendingRequest pending = pendingRequests.get(request);
+        if (pending != null) {
+            remove(pending, now);
             return true;
         }
-        ClaimRecord.Claimed claim = held.remove(request);
+        ClaimRecord.Claimed claim = heldClaims.remove(request);
         if (claim == null) {
             return false;
         }
@@ -217,238 +223,260 @@
         return true;
     }
 
-    /** The process ends: what waits is refused with what is known of its key, and no claim wins any more. */
-    public void end(Instant now) {
-        for (Ask ask : List.copyOf(asks.values())) {
-            boolean running = running(ask).isPresent();
+    /**
+     * Refuses all pending requests because the process ends, each with what is known about its key. No claim wins after
+     * this.
+     */
+    public void shutDown(Instant now) {
+        for (PendingRequest pending : List.copyOf(pendingRequests.values())) {
+            boolean running = runningHolder(pending).isPresent();
             refuse(
-                    ask,
-                    running ? Refusals.inProgress(ask.key()) : Refusals.shuttingDown(ask.key(), ask.askedAt()),
+                    pending,
+                    running
+                            ? Refusals.inProgress(pending.key())
+                            : Refusals.shuttingDown(pending.key(), pending.arrivedAt()),
                     now);
         }
     }
 
-    /** What was decided since the last call, in order. */
-    public List<Verdict> verdicts() {
-        List<Verdict> decided = List.copyOf(verdicts);
-        verdicts.clear();
-        return decided;
+    /** Returns and clears the results since the last call, in order. */
+    public List<ClaimResult> results() {
+        List<ClaimResult> drained = List.copyOf(results);
+        results.clear();
+        return drained;
     }
 
-    /** Whether nothing waits, is held or has yet to be written: the node may end without leaving a key unknown. */
+    /**
+     * Whether nothing is pending, held or still to be written, so that the node can end without leaving the outcome of
+     * a key unknown.
+     */
     public boolean idle() {
-        return asks.isEmpty() && held.isEmpty() && watched.isEmpty() && writer.idle();
+        return pendingRequests.isEmpty() && heldClaims.isEmpty() && claimsGivenUpInFlight.isEmpty() && writer.idle();
     }
 
-    private void apply(LogRecord.ClaimBatch batch, Instant time, Instant now, Effects effects, Set<String> touched) {
+    private void apply(
+            LogRecord.ClaimBatch batch, Instant time, Instant now, Effects effects, Set<String> changedKeys) {
         for (ClaimRecord record : batch.claims()) {
-            boolean changed = fold.apply(record, time);
+            boolean changed = claimTable.apply(record, time);
             switch (record) {
                 case ClaimRecord.Claimed claimed
-                when claimed.claimer().equals(self) -> ownClaimRead(claimed, changed, now, effects);
+                when claimed.claimer().equals(self) -> onOwnClaimRead(claimed, changed, now, effects);
                 case ClaimRecord.Claimed ignored -> {}
-                case ClaimRecord.Settled settled when changed -> writer.readBack(settled);
-                case ClaimRecord.Abandoned abandoned when changed -> writer.readBack(abandoned);
+                case ClaimRecord.Settled settled when changed -> writer.confirm(settled);
+                case ClaimRecord.Abandoned abandoned when changed -> writer.confirm(abandoned);
                 case ClaimRecord.Settled ignored -> {}
                 case ClaimRecord.Abandoned ignored -> {}
             }
-            touched.add(record.key());
+            changedKeys.add(record.key());
         }
     }
 
     /**
-     * Only here does a request win, on reading its claim in the order of the log. The answer to the append would not do:
-     * it may be lost, and it does not tell whether another claim stands before.
+     * A request wins only here, when its claim is read back in log order. The acknowledgement of the append is not
+     * enough: it may be lost, and it does not tell whether an earlier claim of the key exists.
      */
-    private void ownClaimRead(ClaimRecord.Claimed claim, boolean won, Instant now, Effects effects) {
-        watched.remove(claim.claimId());
-        Ask ask = asksByClaim.remove(claim.claimId());
-        if (ask != null) {
-            ask.claimGone();
+    private void onOwnClaimRead(ClaimRecord.Claimed claim, boolean won, Instant now, Effects effects) {
+        claimsGivenUpInFlight.remove(claim.claimId());
+        PendingRequest pending = pendingByClaim.remove(claim.claimId());
+        if (pending != null) {
+            pending.clearClaim();
         }
         if (!won) {
             return;
         }
-        if (ask == null) {
-            // Its request was told that it did not run before the claim showed. Without this record the key would stay
-            // unknown to every other request.
-            abandonLate(claim, effects);
+        if (pending == null) {
+            // The request was told that it did not run before its claim appeared on the log. Without this record the
+            // key would stay unknown to every other request.
+            abandonLateClaim(claim, effects);
             return;
         }
         if (keyAge.tooOld(claim.issuedAt(), reader.completeFrom(), now)) {
-            abandonLate(claim, effects);
-            refuse(ask, Refusals.tooOld(ask.key()), now);
+            abandonLateClaim(claim, effects);
+            refuse(pending, Refusals.tooOld(pending.key()), now);
             return;
         }
-        close(ask, now);
-        held.put(ask.request(), claim);
-        verdicts.add(new Verdict.Won(ask.request(), claim.claimId()));
+        remove(pending, now);
+        heldClaims.put(pending.request(), claim);
+        results.add(new ClaimResult.Acquired(pending.request(), claim.claimId()));
     }
 
-    private void abandonLate(ClaimRecord.Claimed claim, Effects effects) {
+    private void abandonLateClaim(ClaimRecord.Claimed claim, Effects effects) {
         writer.add(new ClaimRecord.Abandoned(claim.key(), claim.claimId()));
         effects.add(new Effect.LogDecision(Decision.builder("abandon-claim")
                 .field("key", claim.key())
                 .field("claim", claim.claimId())
-                .field("reason", "its request was given up before the claim was read")
+                .field("reason", "the request was refused or abandoned before its claim was read")
                 .build()));
     }
 
     private void resolveAll(String key, Instant now) {
-        for (Ask ask : List.copyOf(asksByKey.getOrDefault(key, Set.of()))) {
-            resolve(ask, now);
+        for (PendingRequest pending : List.copyOf(pendingByKey.getOrDefault(key, Set.of()))) {
+            resolve(pending, now);
         }
     }
 
-    private void resolve(Ask ask, Instant now) {
-        Optional<ClaimFold.Holder> holder = fold.holder(ask.key().identity());
-        if (holder.isEmpty() || holder.get().state() instanceof ClaimFold.State.Abandoned) {
-            claim(ask, now);
+    private void resolve(PendingRequest pending, Instant now) {
+        Optional<ClaimTable.Holder> holder = claimTable.holder(pending.key().identity());
+        if (holder.isEmpty() || holder.get().state() instanceof ClaimTable.State.Abandoned) {
+            claim(pending, now);
             return;
         }
-        withdraw(ask);
-        if (!holder.get().bodyDigest().equals(ask.bodyDigest())) {
-            refuse(ask, Refusals.reused(ask.key()), now);
+        withdrawClaim(pending);
+        if (!holder.get().bodyDigest().equals(pending.bodyDigest())) {
+            refuse(pending, Refusals.keyReused(pending.key()), now);
             return;
         }
         switch (holder.get().state()) {
-            case ClaimFold.State.Settled settled -> {
-                close(ask, now);
-                verdicts.add(new Verdict.Recorded(ask.request(), settled.code(), settled.run(), settled.output()));
+            case ClaimTable.State.Settled settled -> {
+                remove(pending, now);
+                results.add(
+                        new ClaimResult.Recorded(pending.request(), settled.code(), settled.run(), settled.output()));
             }
-            case ClaimFold.State.Running ignored
-            when !present(holder.get().claimer()) ->
-                refuse(ask, Refusals.holderGone(ask.key(), holder.get().claimer()), now);
+            case ClaimTable.State.Running ignored
+            when !isMember(holder.get().claimer()) ->
+                refuse(
+                        pending,
+                        Refusals.holderNotAMember(pending.key(), holder.get().claimer()),
+                        now);
             // The holder may be paused and send at any time, so its claim is never taken over: wait for its outcome.
-            case ClaimFold.State.Running ignored -> {}
-            case ClaimFold.State.Abandoned ignored -> {}
+            case ClaimTable.State.Running ignored -> {}
+            case ClaimTable.State.Abandoned ignored -> {}
         }
     }
 
-    private boolean present(NodeId node) {
+    private boolean isMember(NodeId node) {
         return node.equals(self) || members.test(node);
     }
 
-    private void claim(Ask ask, Instant now) {
-        if (ask.claim().isPresent()) {
+    private void claim(PendingRequest pending, Instant now) {
+        if (pending.claim().isPresent()) {
             return;
         }
-        if (keyAge.tooOld(ask.key().issuedAt(), reader.completeFrom(), now)) {
-            refuse(ask, Refusals.tooOld(ask.key()), now);
+        if (keyAge.tooOld(pending.key().issuedAt(), reader.completeFrom(), now)) {
+            refuse(pending, Refusals.tooOld(pending.key()), now);
             return;
         }
-        // What is still unread may hold the key's outcome already, and a claim made now would be read back only after
-        // it:
-        // too late for most deadlines.
-        if (!reader.caughtUp() || reader.down(now)) {
-            refuse(ask, Refusals.logUnavailable(ask.key(), ask.askedAt()), now);
+        // The unread part of the log may already hold the outcome of the key, and a claim appended now would be read
+        // back only after it, too late for most deadlines.
+        if (!reader.caughtUp() || reader.isUnavailable(now)) {
+            refuse(pending, Refusals.logUnavailable(pending.key(), pending.arrivedAt()), now);
             return;
         }
-        lastClaim++;
+        lastClaimNumber++;
         ClaimRecord.Claimed claim = new ClaimRecord.Claimed(
-                ask.key().identity(), claimIds.apply(lastClaim), ask.key().issuedAt(), self, ask.bodyDigest());
-        ask.claimMade(claim);
-        asksByClaim.put(claim.claimId(), ask);
+                pending.key().identity(),
+                claimIds.apply(lastClaimNumber),
+                pending.key().issuedAt(),
+                self,
+                pending.bodyDigest());
+        pending.setClaim(claim);
+        pendingByClaim.put(claim.claimId(), pending);
         writer.add(claim);
     }
 
-    /** Takes back a claim that has not left yet: another holds the key. */
-    private void withdraw(Ask ask) {
-        if (ask.claim().isEmpty() || !writer.remove(ask.claim().get())) {
+    /** Removes a claim that has not been sent yet, because another claim holds the key. */
+    private void withdrawClaim(PendingRequest pending) {
+        if (pending.claim().isEmpty() || !writer.remove(pending.claim().get())) {
             return;
         }
-        asksByClaim.remove(ask.claim().get().claimId());
-        ask.claimGone();
+        pendingByClaim.remove(pending.claim().get().claimId());
+        pending.clearClaim();
     }
 
-    /** Gives an answer to requests that can wait no longer, or that would wait in vain. */
-    private void sweep(Instant now) {
-        boolean down = reader.down(now);
-        for (Ask ask : List.copyOf(asks.values())) {
-            Optional<ClaimFold.Holder> running = running(ask);
-            if (running.isEmpty() && (down || ask.expired(now))) {
-                refuse(ask, Refusals.logUnavailable(ask.key(), ask.askedAt()), now);
+    /** Refuses pending requests that have expired or whose wait cannot succeed. */
+    private void refuseExpired(Instant now) {
+        boolean unavailable = reader.isUnavailable(now);
+        for (PendingRequest pending : List.copyOf(pendingRequests.values())) {
+            Optional<ClaimTable.Holder> runningHolder = runningHolder(pending);
+            if (runningHolder.isEmpty() && (unavailable || pending.isExpired(now))) {
+                refuse(pending, Refusals.logUnavailable(pending.key(), pending.arrivedAt()), now);
                 continue;
             }
-            if (running.isPresent() && !present(running.get().claimer())) {
-                refuse(ask, Refusals.holderGone(ask.key(), running.get().claimer()), now);
+            if (runningHolder.isPresent() && !isMember(runningHolder.get().claimer())) {
+                refuse(
+                        pending,
+                        Refusals.holderNotAMember(
+                                pending.key(), runningHolder.get().claimer()),
+                        now);
                 continue;
             }
-            if (ask.expired(now)) {
-                refuse(ask, Refusals.inProgress(ask.key()), now);
+            if (pending.isExpired(now)) {
+                refuse(pending, Refusals.inProgress(pending.key()), now);
             }
         }
     }
 
-    private Optional<ClaimFold.Holder> running(Ask ask) {
-        Optional<ClaimFold.Holder> holder = fold.holder(ask.key().identity());
-        if (holder.isPresent() && holder.get().state() instanceof ClaimFold.State.Running) {
+    private Optional<ClaimTable.Holder> runningHolder(PendingRequest pending) {
+        Optional<ClaimTable.Holder> holder = claimTable.holder(pending.key().identity());
+        if (holder.isPresent() && holder.get().state() instanceof ClaimTable.State.Running) {
             return holder;
         }
         return Optional.empty();
     }
 
     /**
-     * The log dropped records that this node never read, so a key may have been claimed without its knowledge. All that
-     * is known is given up, and what waits is refused.
+     * Handles a gap: the log dropped records that this node never read, so a key may have been claimed without its
+     * knowledge. Clears the claim table and refuses all pending requests.
      */
-    private void startOver(Instant now) {
-        for (Ask ask : List.copyOf(asks.values())) {
-            boolean running = running(ask).isPresent();
+    private void resetAfterGap(Instant now) {
+        for (PendingRequest pending : List.copyOf(pendingRequests.values())) {
+            boolean running = runningHolder(pending).isPresent();
             refuse(
-                    ask,
-                    running ? Refusals.inProgress(ask.key()) : Refusals.logUnavailable(ask.key(), ask.askedAt()),
+                    pending,
+                    running
+                            ? Refusals.inProgress(pending.key())
+                            : Refusals.logUnavailable(pending.key(), pending.arrivedAt()),
                     now);
         }
-        fold.clear();
+        claimTable.clear();
     }
 
-    private void refuse(Ask ask, Refusal refusal, Instant now) {
-        close(ask, now);
-        verdicts.add(new Verdict.Refused(ask.request(), refusal));
+    private void refuse(PendingRequest pending, Refusal refusal, Instant now) {
+        remove(pending, now);
+        results.add(new ClaimResult.Refused(pending.request(), refusal));
     }
 
     /**
-     * Ends an ask. A claim that is on its way can no longer win for this node: its entry is gone before any answer is
-     * given, so that "not run" stays true even if the claim shows on the log later.
+     * Removes a pending request. A claim in flight can then no longer win for this node. The entry is removed before
+     * the caller gets an answer, so that "not run" stays true even if the claim appears on the log later.
      */
-    private void close(Ask ask, Instant now) {
-        asks.remove(ask.request());
-        Set<Ask> others = asksByKey.get(ask.key().identity());
-        others.remove(ask);
+    private void remove(PendingRequest pending, Instant now) {
+        pendingRequests.remove(pending.request());
+        Set<PendingRequest> others = pendingByKey.get(pending.key().identity());
+        others.remove(pending);
         if (others.isEmpty()) {
-            asksByKey.remove(ask.key().identity());
+            pendingByKey.remove(pending.key().identity());
         }
-        if (ask.claim().isEmpty()) {
+        if (pending.claim().isEmpty()) {
             return;
         }
-        ClaimRecord.Claimed claim = ask.claim().get();
-        asksByClaim.remove(claim.claimId());
+        ClaimRecord.Claimed claim = pending.claim().get();
+        pendingByClaim.remove(claim.claimId());
         if (!writer.remove(claim)) {
-            watched.put(claim.claimId(), now);
+            claimsGivenUpInFlight.put(claim.claimId(), now);
         }
     }
 
     private void flush(Instant now, Effects effects) {
-        writer.flush(this::wanted, now, effects);
+        writer.flush(this::isStillNeeded, now, effects);
     }
 
-    private boolean wanted(ClaimRecord record) {
-        return !(record instanceof ClaimRecord.Claimed) || asksByClaim.containsKey(record.claimId());
+    private boolean isStillNeeded(ClaimRecord record) {
+        return !(record instanceof ClaimRecord.Claimed) || pendingByClaim.containsKey(record.claimId());
     }
 
-    /** Collects the parts of {@link Claims}. */
+    /** Builder for {@link Claims}. */
     public static final class Builder {
         private static final Duration DEFAULT_RETENTION = Duration.ofHours(1);
-        private static final Duration SHORTEST_RETENTION = Duration.ofMinutes(10);
-        private static final Duration DEFAULT_BATCH_EVERY = Duration.ofMillis(5);
+        private static final Duration MIN_RETENTION = Duration.ofMinutes(10);
+        private static final Duration DEFAULT_MIN_APPEND_INTERVAL = Duration.ofMillis(5);
         private static final int DEFAULT_APPENDS_PER_SECOND = 30;
 
         private final NodeId self;
         private LongFunction<String> claimIds;
         private Predicate<NodeId> members = ignored -> true;
         private Duration retention = DEFAULT_RETENTION;
-        private Duration batchEvery = DEFAULT_BATCH_EVERY;
+        private Duration minAppendInterval = DEFAULT_MIN_APPEND_INTERVAL;
         private int appendsPerSecond = DEFAULT_APPENDS_PER_SECOND;
 
         private Builder(NodeId self) {
@@ -456,47 +484,48 @@
             this.claimIds = number -> self + "/" + number;
         }
 
-        /** Sets how claims are named, from a number that rises by one; default: the node's id and the number. */
-        public Builder claimIds(LongFunction<String> names) {
-            this.claimIds = Objects.requireNonNull(names);
+        /** Sets how claim ids are generated from an increasing number; default: the node id and the number. */
+        public Builder claimIds(LongFunction<String> idGenerator) {
+            this.claimIds = Objects.requireNonNull(idGenerator);
             return this;
         }
 
-        /** Sets which nodes may still record an outcome; default: all. Keys held by others are unknown at once. */
-        public Builder members(Predicate<NodeId> present) {
-            this.members = Objects.requireNonNull(present);
+        /**
+         * Sets which nodes can still record an outcome; default: all. Keys held by other nodes are reported as unknown
+         * at once.
+         */
+        public Builder members(Predicate<NodeId> isMember) {
+            this.members = Objects.requireNonNull(isMember);
             return this;
         }
 
         /**
-         * Sets how long the log service keeps records, at least 10 minutes; default 1 hour. It must not be more than the
-         * service really keeps them. A key can be used for 6 minutes less.
+         * Sets the log service's retention, at least 10 minutes; default 1 hour. It must not exceed the service's
+         * actual retention. A key is accepted for 6 minutes less than this.
          */
-        public Builder retention(Duration length) {
-            if (length.compareTo(SHORTEST_RETENTION) < 0) {
-                throw new IllegalArgumentException(
-                        "retention is " + length + "; expected at least " + SHORTEST_RETENTION);
+        public Builder retention(Duration value) {
+            if (value.compareTo(MIN_RETENTION) < 0) {
+                throw new IllegalArgumentException("retention is " + value + "; expected at least " + MIN_RETENTION);
             }
-            this.retention = length;
+            this.retention = value;
             return this;
         }
 
-        /** Sets the least time between two appends; default 5 ms. */
-        public Builder batchEvery(Duration length) {
-            this.batchEvery = Objects.requireNonNull(length);
+        /** Sets the minimum interval between two appends; default 5 ms. */
+        public Builder minAppendInterval(Duration value) {
+            this.minAppendInterval = Objects.requireNonNull(value);
             return this;
         }
 
-        /** Sets this node's share of the log service's appends, after a burst of 10; default 30 a second. */
-        public Builder appendsPerSecond(int rate) {
-            if (rate < 1) {
-                throw new IllegalArgumentException("appends per second are " + rate + "; expected at least 1");
+        /** Sets this node's share of the log service's append rate, on top of a burst of 10; default 30 per second. */
+        public Builder appendsPerSecond(int value) {
+            if (value < 1) {
+                throw new IllegalArgumentException("appends per second is " + value + "; expected at least 1");
             }
-            this.appendsPerSecond = rate;
+            this.appendsPerSecond = value;
             return this;
         }
 
-        /** Builds the claims. */
         public Claims build() {
             return new Claims(this);
         }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/claim/Ask.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/claim/PendingRequest.java
@@ -6,20 +6,20 @@
 import org.wagtaillug.id.RequestId;
 import org.wagtaillug.log.LogRecord.ClaimRecord;
 
-/** A request that waits to hear whether it may run its key. */
-final class Ask {
+/** A request that waits for the decision whether it may run its key. */
+final class PendingRequest {
     private final RequestId request;
     private final IdempotencyKey key;
     private final String bodyDigest;
-    private final Instant askedAt;
+    private final Instant arrivedAt;
     private final Instant deadline;
     private Optional<ClaimRecord.Claimed> claim = Optional.empty();
 
-    Ask(RequestId request, IdempotencyKey key, String bodyDigest, Instant askedAt, Instant deadline) {
+    PendingRequest(RequestId request, IdempotencyKey key, String bodyDigest, Instant arrivedAt, Instant deadline) {
         this.request = request;
         this.key = key;
         this.bodyDigest = bodyDigest;
-        this.askedAt = askedAt;
+        this.arrivedAt = arrivedAt;
         this.deadline = deadline;
     }
 
@@ -35,24 +35,24 @@
         return bodyDigest;
     }
 
-    Instant askedAt() {
-        return askedAt;
+    Instant arrivedAt() {
+        return arrivedAt;
     }
 
-    boolean expired(Instant now) {
+    boolean isExpired(Instant now) {
         return !now.isBefore(deadline);
     }
 
-    /** The claim that it has made and not yet read on the log. */
+    /** The claim appended for this request, as long as it has not been read back from the log. */
     Optional<ClaimRecord.Claimed> claim() {
         return claim;
     }
 
-    void claimMade(ClaimRecord.Claimed made) {
-        claim = Optional.of(made);
+    void setClaim(ClaimRecord.Claimed appended) {
+        claim = Optional.of(appended);
     }
 
-    void claimGone() {
+    void clearClaim() {
         claim = Optional.empty();
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/claim/Refusals.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/claim/Refusals.java
@@ -8,93 +8,99 @@
 import org.wagtaillug.result.ResultCode;
 import org.wagtaillug.result.RunState;
 
-/** The refusals of requests with an idempotency key, in words for the caller. */
+/** Builds the refusals of requests with an idempotency key, including the message for the caller. */
 final class Refusals {
-    /** A request this soon after its key was made is taken for the first with that key. */
-    static final Duration FIRST_TRY = Duration.ofSeconds(2);
+    /**
+     * A request that arrives within this time after its key was issued is taken for the first attempt with that key.
+     */
+    static final Duration FIRST_ATTEMPT_WINDOW = Duration.ofSeconds(2);
 
-    private static final Duration SOON = Duration.ofSeconds(1);
-    private static final Duration LATER = Duration.ofSeconds(5);
-    private static final Duration NEVER = Duration.ZERO;
+    private static final Duration RETRY_SOON = Duration.ofSeconds(1);
+    private static final Duration RETRY_LATER = Duration.ofSeconds(5);
+    private static final Duration NO_RETRY = Duration.ZERO;
 
     private Refusals() {}
 
     /**
-     * The claim cannot be recorded. This request was not run; but where the log cannot be read, nobody here knows of an
-     * earlier try of the same key at another node. A key that is only just made has had none; of an older one it would be
-     * false to say that it did not run.
+     * The claim cannot be recorded. This request was not run, but while the log cannot be read, this node does not know
+     * whether an earlier attempt with the same key ran at another node. A key that was issued just now cannot have had
+     * an earlier attempt; for an older key "not run" could be false.
      */
-    static Refusal logUnavailable(IdempotencyKey key, Instant askedAt) {
+    static Refusal logUnavailable(IdempotencyKey key, Instant arrivedAt) {
         return new Refusal(
                 ResultCode.LOG_UNAVAILABLE,
-                unclaimed(key, askedAt),
-                SOON,
-                "the log service, which has to record key " + key.identity()
-                        + " first, is not reachable; this request was not run and will not be,"
-                        + " an earlier one with the key may have been; expected a retry with the same key");
+                runStateOfUnclaimed(key, arrivedAt),
+                RETRY_SOON,
+                "the log service cannot be reached to record key " + key.identity()
+                        + "; this request was not and will not be run, but an earlier one"
+                        + " with the key may have been; retry with the same key");
     }
 
-    private static RunState unclaimed(IdempotencyKey key, Instant askedAt) {
-        boolean firstTry = askedAt.isBefore(key.issuedAt().plus(FIRST_TRY));
-        return firstTry ? RunState.NOT_RUN : RunState.UNKNOWN;
+    private static RunState runStateOfUnclaimed(IdempotencyKey key, Instant arrivedAt) {
+        boolean firstAttempt = arrivedAt.isBefore(key.issuedAt().plus(FIRST_ATTEMPT_WINDOW));
+        return firstAttempt ? RunState.NOT_RUN : RunState.UNKNOWN;
     }
 
-    /** The node ends before the claim was read back; of an earlier try of the key the same holds as above. */
-    static Refusal shuttingDown(IdempotencyKey key, Instant askedAt) {
+    /**
+     * The node shuts down before the claim was read back. The run state follows the same rule as in {@link
+     * #logUnavailable}.
+     */
+    static Refusal shuttingDown(IdempotencyKey key, Instant arrivedAt) {
         return new Refusal(
                 ResultCode.SHUTTING_DOWN,
-                unclaimed(key, askedAt),
-                SOON,
-                "the node shuts down before key " + key.identity()
-                        + " was claimed; this request was not run and will not be, an earlier one with the key may have"
-                        + " been; expected a retry with the same key at another node");
+                runStateOfUnclaimed(key, arrivedAt),
+                RETRY_SOON,
+                "the node is shutting down and key " + key.identity()
+                        + " was not claimed; this request was not and will not be run, but an earlier one with the key may"
+                        + " have been; retry with the same key at another node");
     }
 
     static Refusal tooOld(IdempotencyKey key) {
         return Refusal.unknown(
                 ResultCode.KEY_TOO_OLD,
-                NEVER,
-                "key " + key.identity() + " of " + key.issuedAt()
-                        + " is older than what the log still holds; this request was not run;"
-                        + " whether one with this key ran before is no longer known");
+                NO_RETRY,
+                "key " + key.identity() + ", issued at " + key.issuedAt()
+                        + ", is older than the records that the log retains; this request was not run;"
+                        + " it is unknown whether an earlier one with the key was");
     }
 
     static Refusal tooNew(IdempotencyKey key) {
         return Refusal.notRun(
                 ResultCode.MALFORMED,
-                NEVER,
+                NO_RETRY,
                 "key " + key.identity() + " was issued at " + key.issuedAt()
-                        + ", which is ahead of this node's clock; expected at most " + KeyAge.LARGEST_LEAD.toMinutes()
+                        + ", too far ahead of this node's clock; expected at most "
+                        + KeyAgeLimits.MAX_CLOCK_LEAD.toMinutes()
                         + " minutes ahead");
     }
 
     static Refusal deadlinePassed(IdempotencyKey key) {
         return Refusal.notRun(
                 ResultCode.DEADLINE_PASSED,
-                NEVER,
-                "the deadline of the request with key " + key.identity() + " had passed on arrival");
+                NO_RETRY,
+                "the deadline of the request with key " + key.identity() + " had passed when it arrived");
     }
 
-    static Refusal reused(IdempotencyKey key) {
+    static Refusal keyReused(IdempotencyKey key) {
         return Refusal.notRun(
                 ResultCode.KEY_REUSED,
-                NEVER,
+                NO_RETRY,
                 "key " + key.identity()
-                        + " was used for another template or body; expected a key of its own for each thing to do");
+                        + " was already used with a different template or body; expected a unique key per operation");
     }
 
     static Refusal inProgress(IdempotencyKey key) {
         return Refusal.unknown(
                 ResultCode.KEY_IN_PROGRESS,
-                SOON,
-                "another request with key " + key.identity() + " is being run; its outcome is not known yet");
+                RETRY_SOON,
+                "another request with key " + key.identity() + " is in progress; its outcome is not known yet");
     }
 
-    static Refusal holderGone(IdempotencyKey key, NodeId holder) {
+    static Refusal holderNotAMember(IdempotencyKey key, NodeId holder) {
         return Refusal.unknown(
                 ResultCode.OUTCOME_UNKNOWN,
-                LATER,
-                "key " + key.identity() + " was being run by " + holder
-                        + ", which is no longer heard; whether it took effect is not known");
+                RETRY_LATER,
+                "a request with key " + key.identity() + " was in progress on node " + holder
+                        + ", which is no longer a member; whether it took effect is unknown");
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/ClaimedOnce.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/ClaimedOnce.java
@@ -14,13 +14,13 @@
     @Override
     public void ask(
             RequestId request, IdempotencyKey key, String bodyDigest, Instant deadline, Instant now, Effects effects) {
-        claims.ask(request, key, bodyDigest, deadline, now, effects);
+        claims.requestClaim(request, key, bodyDigest, deadline, now, effects);
     }
 
     @Override
     public void settled(
             RequestId request, ResultCode code, RunState run, Payload output, Instant now, Effects effects) {
-        claims.settled(request, code, run, output, now, effects);
+        claims.recordOutcome(request, code, run, output, now, effects);
     }
 
     @Override
--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/Node.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/Node.java
@@ -4,8 +4,8 @@
 import java.time.Instant;
 import java.util.List;
 import java.util.Optional;
+import org.wagtaillug.claim.ClaimResult;
 import org.wagtaillug.claim.Claims;
-import org.wagtaillug.claim.Verdict;
 import org.wagtaillug.configuration.ControlLog;
 import org.wagtaillug.configuration.ControlState;
 import org.wagtaillug.dispatch.Dispatcher;
@@ -110,7 +110,7 @@
             case Event.OrderEnded ended -> placement.onOrderEnded(ended.upstream(), ended.accepted(), now, effects);
             case Event.DrainStarted started -> drain.start(started.askedAt());
         }
-        takeVerdicts(now);
+        deliverClaimResults(now);
         tellReadiness(now);
         return effects.drain();
     }
@@ -120,11 +120,11 @@
         members.onTick(now, effects);
         claims.onTick(now, effects);
         if (drain.outOfTime(now)) {
-            claims.end(now);
+            claims.shutDown(now);
         }
         // At its deadline a request that waits for a key is answered by the claims, which know whether another request
         // with the key runs. The dispatcher, which does not, would say "not run" of a key that is being run.
-        takeVerdicts(now);
+        deliverClaimResults(now);
         dispatcher.onTick(now, effects);
         grantHolder.onTick(now, effects);
         drain(now);
@@ -232,14 +232,14 @@
         placement.onLoadReport(reported.upstream(), reported.report(), now);
     }
 
-    private void takeVerdicts(Instant now) {
-        for (Verdict verdict : claims.verdicts()) {
-            switch (verdict) {
-                case Verdict.Won won -> dispatcher.onClaimWon(won.request(), now, effects);
-                case Verdict.Recorded recorded ->
+    private void deliverClaimResults(Instant now) {
+        for (ClaimResult result : claims.results()) {
+            switch (result) {
+                case ClaimResult.Acquired acquired -> dispatcher.onClaimWon(acquired.request(), now, effects);
+                case ClaimResult.Recorded recorded ->
                     dispatcher.onClaimRecorded(
                             recorded.request(), recorded.code(), recorded.run(), recorded.output(), now, effects);
-                case Verdict.Refused refused ->
+                case ClaimResult.Refused refused ->
                     dispatcher.onClaimRefused(refused.request(), refused.refusal(), now, effects);
             }
         }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/claim/ClaimFoldTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/claim/ClaimTableTest.java
@@ -22,45 +22,45 @@
 import org.wagtaillug.result.ResultCode;
 import org.wagtaillug.result.RunState;
 
-class ClaimFoldTest {
+class ClaimTableTest {
     private static final Instant START = Instant.parse("2026-12-01T06:00:00Z");
     private static final Duration RETENTION = Duration.ofHours(1);
 
     @Property(tries = 5000, seed = "11")
-    void saysTheSameAsTheNaiveScanAfterEachRecord(@ForAll("courses") List<ClaimRecord> records) {
-        ClaimFold fold = new ClaimFold(RETENTION);
+    void matchesTheNaiveScanAfterEachRecord(@ForAll("recordSequences") List<ClaimRecord> records) {
+        ClaimTable table = new ClaimTable(RETENTION);
         List<LogBatch.Entry> entries = new ArrayList<>();
         for (ClaimRecord record : records) {
             Instant time = START.plusSeconds(entries.size());
             entries.add(new LogBatch.Entry(entries.size() + 1L, time, new LogRecord.ClaimBatch(List.of(record))));
-            fold.apply(record, time);
-            fold.forgetOld(time);
+            table.apply(record, time);
+            table.evictExpired(time);
 
             for (String key : List.of("a", "b")) {
-                assertThat(fold.holder(key)).isEqualTo(NaiveFold.holder(entries, key));
+                assertThat(table.holder(key)).isEqualTo(NaiveClaimTable.holder(entries, key));
             }
         }
     }
 
     @Test
-    void forgetsKeysThatTheLogHasDropped() {
-        ClaimFold fold = new ClaimFold(RETENTION);
+    void evictsKeysThatTheLogHasDropped() {
+        ClaimTable table = new ClaimTable(RETENTION);
         for (int index = 0; index < 10_000; index++) {
             Instant time = START.plusSeconds(index);
-            fold.apply(claimed("key-" + index, "claim-" + index), time);
-            fold.forgetOld(time);
+            table.apply(claimed("key-" + index, "claim-" + index), time);
+            table.evictExpired(time);
         }
 
-        assertThat(fold.size()).isEqualTo(3601);
-        assertThat(fold.holder("key-0")).isEmpty();
-        assertThat(fold.holder("key-9999")).isPresent();
+        assertThat(table.size()).isEqualTo(3601);
+        assertThat(table.holder("key-0")).isEmpty();
+        assertThat(table.holder("key-9999")).isPresent();
     }
 
     @Provide
-    Arbitrary<List<ClaimRecord>> courses() {
+    Arbitrary<List<ClaimRecord>> recordSequences() {
         Arbitrary<String> keys = Arbitraries.of("a", "b");
         Arbitrary<String> claimIds = Arbitraries.of("c1", "c2", "c3");
-        Arbitrary<ClaimRecord> claims = Combinators.combine(keys, claimIds).as(ClaimFoldTest::claimed);
+        Arbitrary<ClaimRecord> claims = Combinators.combine(keys, claimIds).as(ClaimTableTest::claimed);
         Arbitrary<ClaimRecord> settled = Combinators.combine(
                         keys, claimIds, Arbitraries.of(ResultCode.SERVED, ResultCode.OUTCOME_UNKNOWN))
                 .as((key, claimId, code) ->
--- a/wagtaillug-core/src/test/java/org/wagtaillug/claim/ClaimsSession.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/claim/ClaimsHarness.java
@@ -19,13 +19,13 @@
 import org.wagtaillug.result.ResultCode;
 import org.wagtaillug.result.RunState;
 
-/** One node's claims, driven by hand; writes down what goes in and what comes out. */
-final class ClaimsSession {
+/** Drives the claims of one node step by step and records its inputs and outputs as a transcript. */
+final class ClaimsHarness {
     static final Instant START = Instant.parse("2026-12-01T06:00:00Z");
     static final NodeId SELF = new NodeId(new VmId("entry-1"), 1);
     static final NodeId OTHER = new NodeId(new VmId("entry-2"), 1);
 
-    final List<Verdict> verdicts = new ArrayList<>();
+    final List<ClaimResult> results = new ArrayList<>();
     final List<LogRecord.ClaimBatch> appended = new ArrayList<>();
     private final List<String> transcript = new ArrayList<>();
     private final Effects effects = new Effects();
@@ -35,13 +35,13 @@
     private long next = 1;
     private long append;
 
-    ClaimsSession(Claims.Builder builder) {
+    ClaimsHarness(Claims.Builder builder) {
         claims = builder.build();
     }
 
-    /** A session that has read the empty stream to its tail. */
-    static ClaimsSession caughtUp(Claims.Builder builder) {
-        ClaimsSession session = new ClaimsSession(builder);
+    /** A harness whose claims have read the empty stream to its tail. */
+    static ClaimsHarness caughtUp(Claims.Builder builder) {
+        ClaimsHarness session = new ClaimsHarness(builder);
         session.tick();
         session.read();
         return session;
@@ -55,39 +55,40 @@
         return now;
     }
 
-    void say(String story) {
-        transcript.add("# " + story);
+    void comment(String text) {
+        transcript.add("# " + text);
     }
 
-    void after(Duration length) {
+    void advance(Duration length) {
         now = now.plus(length);
     }
 
-    void after(long millis) {
-        after(Duration.ofMillis(millis));
+    void advance(long millis) {
+        advance(Duration.ofMillis(millis));
     }
 
     void tick() {
-        in("tick");
+        recordInput("tick");
         claims.onTick(now, effects);
-        out();
+        recordOutput();
     }
 
     IdempotencyKey key(String value, Instant issuedAt) {
         return new IdempotencyKey(new CustomerId("office-nord"), value, issuedAt);
     }
 
-    void ask(String request, String key, String digest, long patienceMillis) {
-        ask(request, key(key, START), digest, patienceMillis);
+    void requestClaim(String request, String key, String digest, long timeoutMillis) {
+        requestClaim(request, key(key, START), digest, timeoutMillis);
     }
 
-    void ask(String request, IdempotencyKey key, String digest, long patienceMillis) {
-        in("ask " + request + " key=" + key.identity() + " digest=" + digest + " within " + patienceMillis + " ms");
-        claims.ask(new RequestId(request), key, digest, now.plusMillis(patienceMillis), now, effects);
-        out();
+    void requestClaim(String request, IdempotencyKey key, String digest, long timeoutMillis) {
+        recordInput(
+                "ask " + request + " key=" + key.identity() + " digest=" + digest + " within " + timeoutMillis + " ms");
+        claims.requestClaim(new RequestId(request), key, digest, now.plusMillis(timeoutMillis), now, effects);
+        recordOutput();
     }
 
-    /** The pending read gives these, each as one batch. */
+    /** Answers the pending read with these records, each in a batch of its own. */
     void read(ClaimRecord... records) {
         List<LogBatch.Entry> entries = new ArrayList<>();
         for (ClaimRecord record : records) {
@@ -98,41 +99,42 @@
     }
 
     void read(LogBatch batch) {
-        in("read " + batch.entries().stream().map(entry -> text(entry.record())).collect(Collectors.joining(", "))
+        recordInput("read "
+                + batch.entries().stream().map(entry -> text(entry.record())).collect(Collectors.joining(", "))
                 + " end=" + batch.end());
         next = batch.next();
         claims.onLogRead(readAt, batch, now, effects);
-        out();
+        recordOutput();
     }
 
-    void readFails() {
-        in("read fails");
+    void failRead() {
+        recordInput("read fails");
         claims.onLogReadFailed(now, effects);
-        out();
+        recordOutput();
     }
 
-    void appendAnswered() {
-        in("append " + append + " answered");
+    void acknowledgeAppend() {
+        recordInput("append " + append + " answered");
         claims.onAppended(append, 1, now, effects);
-        out();
+        recordOutput();
     }
 
-    void appendFails(boolean mayTakeEffect) {
-        in("append " + append + " fails, " + (mayTakeEffect ? "may take effect" : "surely without effect"));
+    void failAppend(boolean mayTakeEffect) {
+        recordInput("append " + append + " fails, " + (mayTakeEffect ? "may take effect" : "surely without effect"));
         claims.onAppendFailed(append, mayTakeEffect, now, effects);
-        out();
+        recordOutput();
     }
 
-    void settled(String request, ResultCode code, RunState run, Payload output) {
-        in("settled " + request + " " + code + " " + run);
-        claims.settled(new RequestId(request), code, run, output, now, effects);
-        out();
+    void recordOutcome(String request, ResultCode code, RunState run, Payload output) {
+        recordInput("settled " + request + " " + code + " " + run);
+        claims.recordOutcome(new RequestId(request), code, run, output, now, effects);
+        recordOutput();
     }
 
     void abandon(String request) {
-        in("abandon " + request);
+        recordInput("abandon " + request);
         claims.abandon(new RequestId(request), now, effects);
-        out();
+        recordOutput();
     }
 
     ClaimRecord lastAppended() {
@@ -147,11 +149,11 @@
         return new ClaimRecord.Claimed("office-nord/" + key, claimId, START, node, digest);
     }
 
-    private void in(String event) {
+    private void recordInput(String event) {
         transcript.add(String.format("%7d ms  %s", Duration.between(START, now).toMillis(), event));
     }
 
-    private void out() {
+    private void recordOutput() {
         for (Effect effect : effects.drain()) {
             switch (effect) {
                 case Effect.ReadLog read -> {
@@ -169,19 +171,19 @@
                 default -> transcript.add("            -> " + effect);
             }
         }
-        for (Verdict verdict : claims.verdicts()) {
-            verdicts.add(verdict);
-            transcript.add("            => " + text(verdict));
+        for (ClaimResult result : claims.results()) {
+            results.add(result);
+            transcript.add("            => " + text(result));
         }
     }
 
-    private static String text(Verdict verdict) {
-        return switch (verdict) {
-            case Verdict.Won won -> won.request() + " won with " + won.claimId();
-            case Verdict.Recorded recorded ->
+    private static String text(ClaimResult result) {
+        return switch (result) {
+            case ClaimResult.Acquired acquired -> acquired.request() + " won with " + acquired.claimId();
+            case ClaimResult.Recorded recorded ->
                 recorded.request() + " repeats " + recorded.code() + " " + recorded.run() + " "
                         + recorded.output().text();
-            case Verdict.Refused refused ->
+            case ClaimResult.Refused refused ->
                 refused.request() + " refused " + refused.refusal().code() + " "
                         + refused.refusal().run() + " retry after "
                         + refused.refusal().retryAfter().toMillis() + " ms";
--- a/wagtaillug-core/src/test/java/org/wagtaillug/claim/ClaimsRandomTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/claim/ClaimsRandomTest.java
@@ -9,20 +9,21 @@
     private static final int RUNS = Integer.getInteger("wagtaillug.runs", 1_000);
 
     /**
-     * A guest's deposit is taken twice. Its caller heard nothing, or "not run", and tried again on another node, while
-     * the first try was still on its way: its node paused or dead, its claim's answer lost or its claim late.
+     * Guards against running a request twice when its caller got no answer, or "not run", and retried at another node
+     * while the first attempt was still in flight: its node paused or crashed, the acknowledgement of its claim lost,
+     * or its claim delayed.
      */
     @Test
     void noKeyRunsTwiceAndNotRunIsTrue() {
-        long wins = 0;
+        long acquired = 0;
         for (long seed = 1; seed <= RUNS; seed++) {
             try {
-                wins += new ClaimsWorld(seed).play();
-            } catch (AssertionError error) {
-                throw new AssertionError("seed " + seed + ": " + error.getMessage(), error);
+                acquired += new ClaimsSimulation(seed).simulate();
+            } catch (AssertionError failure) {
+                throw new AssertionError("seed " + seed + ": " + failure.getMessage(), failure);
             }
         }
-        System.out.println("claims: " + RUNS + " seeded runs, " + wins + " wins, no key ran twice");
-        assertThat(wins).isGreaterThan(RUNS);
+        System.out.println("claims: " + RUNS + " seeded runs, " + acquired + " wins, no key ran twice");
+        assertThat(acquired).isGreaterThan(RUNS);
     }
 }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/claim/FakeLog.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/claim/FakeLog.java
@@ -7,13 +7,13 @@
 import org.wagtaillug.log.LogBatch;
 import org.wagtaillug.log.LogRecord;
 
-/** The claims stream in memory, with retention. */
+/** In-memory claims stream with a retention period. */
 final class FakeLog {
-    private static final int LIMIT = 500;
+    private static final int MAX_READ_ENTRIES = 500;
 
     private final Duration retention;
-    private final List<LogBatch.Entry> held = new ArrayList<>();
-    private final List<LogBatch.Entry> ever = new ArrayList<>();
+    private final List<LogBatch.Entry> retained = new ArrayList<>();
+    private final List<LogBatch.Entry> allAppended = new ArrayList<>();
     private long end = 1;
 
     FakeLog(Duration retention) {
@@ -22,23 +22,23 @@
 
     long append(LogRecord record, Instant now) {
         LogBatch.Entry entry = new LogBatch.Entry(end, now, record);
-        held.add(entry);
-        ever.add(entry);
+        retained.add(entry);
+        allAppended.add(entry);
         return end++;
     }
 
     LogBatch read(long from, Instant now) {
-        while (!held.isEmpty() && held.getFirst().time().isBefore(now.minus(retention))) {
-            held.removeFirst();
+        while (!retained.isEmpty() && retained.getFirst().time().isBefore(now.minus(retention))) {
+            retained.removeFirst();
         }
-        long oldest = held.isEmpty() ? end : held.getFirst().offset();
-        int start = (int) Math.max(0, Math.min(held.size(), from - oldest));
-        List<LogBatch.Entry> entries = held.subList(start, Math.min(held.size(), start + LIMIT));
+        long oldest = retained.isEmpty() ? end : retained.getFirst().offset();
+        int start = (int) Math.max(0, Math.min(retained.size(), from - oldest));
+        List<LogBatch.Entry> entries = retained.subList(start, Math.min(retained.size(), start + MAX_READ_ENTRIES));
         return new LogBatch(from, oldest, end, entries);
     }
 
-    /** All that was ever appended, also what is no longer held. */
-    List<LogBatch.Entry> ever() {
-        return ever;
+    /** All entries that were ever appended, including those dropped by retention. */
+    List<LogBatch.Entry> allAppended() {
+        return allAppended;
     }
 }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/claim/NaiveFold.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/claim/NaiveClaimTable.java
@@ -9,24 +9,27 @@
 import org.wagtaillug.log.LogRecord;
 import org.wagtaillug.log.LogRecord.ClaimRecord;
 
-/** The meaning of the claims stream, told slowly: looks for a key's winner, then for its end, from there for the next. */
-final class NaiveFold {
-    private NaiveFold() {}
+/**
+ * Naive reference implementation of {@link ClaimTable}: scans the whole stream for a key's winning claim and for the
+ * end of that claim, and repeats from there if the claim was abandoned.
+ */
+final class NaiveClaimTable {
+    private NaiveClaimTable() {}
 
-    static Optional<ClaimFold.Holder> holder(List<LogBatch.Entry> entries, String key) {
+    static Optional<ClaimTable.Holder> holder(List<LogBatch.Entry> entries, String key) {
         List<ClaimRecord> records = new ArrayList<>();
-        List<LogBatch.Entry> places = new ArrayList<>();
+        List<LogBatch.Entry> entryOfRecord = new ArrayList<>();
         for (LogBatch.Entry entry : entries) {
             if (entry.record() instanceof LogRecord.ClaimBatch batch) {
                 for (ClaimRecord record : batch.claims()) {
                     if (record.key().equals(key)) {
                         records.add(record);
-                        places.add(entry);
+                        entryOfRecord.add(entry);
                     }
                 }
             }
         }
-        Optional<ClaimFold.Holder> found = Optional.empty();
+        Optional<ClaimTable.Holder> holder = Optional.empty();
         int from = 0;
         while (true) {
             int winner = from;
@@ -34,50 +37,50 @@
                 winner++;
             }
             if (winner == records.size()) {
-                return found;
+                return holder;
             }
             ClaimRecord.Claimed claim = (ClaimRecord.Claimed) records.get(winner);
             int end = winner + 1;
-            while (end < records.size() && !ends(records.get(end), claim)) {
+            while (end < records.size() && !endsClaim(records.get(end), claim)) {
                 end++;
             }
-            ClaimFold.State state = new ClaimFold.State.Running();
+            ClaimTable.State state = new ClaimTable.State.Running();
             if (end < records.size()) {
                 state = records.get(end) instanceof ClaimRecord.Settled settled
-                        ? new ClaimFold.State.Settled(settled.code(), settled.run(), settled.output())
-                        : new ClaimFold.State.Abandoned();
+                        ? new ClaimTable.State.Settled(settled.code(), settled.run(), settled.output())
+                        : new ClaimTable.State.Abandoned();
             }
-            found = Optional.of(new ClaimFold.Holder(
+            holder = Optional.of(new ClaimTable.Holder(
                     claim.claimId(),
                     claim.claimer(),
                     claim.bodyDigest(),
-                    places.get(winner).time(),
+                    entryOfRecord.get(winner).time(),
                     state));
-            if (!(state instanceof ClaimFold.State.Abandoned)) {
-                return found;
+            if (!(state instanceof ClaimTable.State.Abandoned)) {
+                return holder;
             }
             from = end + 1;
         }
     }
 
-    /** All keys that are held by somebody who has not recorded an end. */
-    static List<ClaimFold.Holder> running(List<LogBatch.Entry> entries) {
+    /** The holders of all keys that have no outcome or abandonment recorded. */
+    static List<ClaimTable.Holder> running(List<LogBatch.Entry> entries) {
         Set<String> keys = new LinkedHashSet<>();
         for (LogBatch.Entry entry : entries) {
             if (entry.record() instanceof LogRecord.ClaimBatch batch) {
                 batch.claims().forEach(record -> keys.add(record.key()));
             }
         }
-        List<ClaimFold.Holder> running = new ArrayList<>();
+        List<ClaimTable.Holder> running = new ArrayList<>();
         for (String key : keys) {
             holder(entries, key)
-                    .filter(holder -> holder.state() instanceof ClaimFold.State.Running)
+                    .filter(holder -> holder.state() instanceof ClaimTable.State.Running)
                     .ifPresent(running::add);
         }
         return running;
     }
 
-    private static boolean ends(ClaimRecord record, ClaimRecord.Claimed claim) {
+    private static boolean endsClaim(ClaimRecord record, ClaimRecord.Claimed claim) {
         return !(record instanceof ClaimRecord.Claimed) && record.claimId().equals(claim.claimId());
     }
 }
