--- a/wagtaillug-core/src/main/java/org/wagtaillug/configuration/CanonicalForm.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/configuration/CanonicalEncoding.java
@@ -20,54 +20,55 @@
 import org.wagtaillug.log.LogRecord.StateMember;
 
 /**
- * Writes one item of the control state as bytes that are the same in every process: each text with its length before
- * it, maps in order of their keys. The hash of an item is the first eight bytes of the SHA-256 of them.
+ * Encodes one item of the control state as bytes that are identical in every process: each text is prefixed with its
+ * length, and maps are ordered by key. The hash of an item is the first eight bytes of the SHA-256 digest of its
+ * encoding.
  */
-final class CanonicalForm {
+final class CanonicalEncoding {
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
 
-    private CanonicalForm() {}
+    private CanonicalEncoding() {}
 
     /** The hash of a configuration entry. */
     static long hash(StateEntry entry) {
-        return of(entry).hash();
+        return encode(entry).hash();
     }
 
     /** The hash of a member of the roster. */
     static long hash(StateMember member) {
-        return of(member).hash();
+        return encode(member).hash();
     }
 
-    /** The length of an entry in bytes. */
+    /** The encoded size of an entry in bytes. */
     static int size(StateEntry entry) {
-        return of(entry).bytes.size();
+        return encode(entry).bytes.size();
     }
 
-    /** The length of a member in bytes. */
+    /** The encoded size of a member in bytes. */
     static int size(StateMember member) {
-        return of(member).bytes.size();
+        return encode(member).bytes.size();
     }
 
-    private static CanonicalForm of(StateEntry entry) {
-        CanonicalForm form = new CanonicalForm();
-        form.text("entry");
-        form.text(entry.key());
-        form.number(entry.version());
-        form.body(entry.body());
-        return form;
+    private static CanonicalEncoding encode(StateEntry entry) {
+        CanonicalEncoding encoding = new CanonicalEncoding();
+        encoding.text("entry");
+        encoding.text(entry.key());
+        encoding.number(entry.version());
+        encoding.body(entry.body());
+        return encoding;
     }
 
-    private static CanonicalForm of(StateMember member) {
-        CanonicalForm form = new CanonicalForm();
+    private static CanonicalEncoding encode(StateMember member) {
+        CanonicalEncoding encoding = new CanonicalEncoding();
         NodeAddress address = member.address();
-        form.text("member");
-        form.text(member.node().vm().value());
-        form.number(member.node().incarnation());
-        form.number(member.joined());
-        form.text(address.host());
-        form.number(address.port());
-        form.text(address.domain().value());
-        return form;
+        encoding.text("member");
+        encoding.text(member.node().vm().value());
+        encoding.number(member.node().incarnation());
+        encoding.number(member.joined());
+        encoding.text(address.host());
+        encoding.number(address.port());
+        encoding.text(address.domain().value());
+        return encoding;
     }
 
     private long hash() {
@@ -97,7 +98,7 @@
         text("template");
         text(template.id().value());
         number(template.deadline().toNanos());
-        flag(template.idempotent());
+        bool(template.idempotent());
         number(Double.doubleToLongBits(template.worth()));
         number(template.stages().size());
         for (Stage stage : template.stages()) {
@@ -112,7 +113,7 @@
         text(stage.operation());
         optionalText(stage.model().map(Object::toString));
         number(stage.attempts());
-        flag(stage.hedge());
+        bool(stage.hedge());
         number(stage.timeout().toNanos());
     }
 
@@ -121,8 +122,8 @@
         text(customer.id().value());
         number(Double.doubleToLongBits(customer.share()));
         number(customer.parameters().size());
-        Map<TemplateId, CustomerContract.Parameters> ordered = new TreeMap<>(customer.parameters());
-        for (Map.Entry<TemplateId, CustomerContract.Parameters> entry : ordered.entrySet()) {
+        Map<TemplateId, CustomerContract.Parameters> sorted = new TreeMap<>(customer.parameters());
+        for (Map.Entry<TemplateId, CustomerContract.Parameters> entry : sorted.entrySet()) {
             text(entry.getKey().value());
             CustomerContract.Parameters parameters = entry.getValue();
             optionalText(parameters.deadline().map(Object::toString));
@@ -137,8 +138,8 @@
         number(pool.coldLimit());
         number(pool.warmAfter());
         number(pool.warmLimit());
-        flag(pool.checksFencing());
-        flag(pool.checksKeys());
+        bool(pool.checksFencing());
+        bool(pool.checksKeys());
     }
 
     private void placement(PlacementContract placement) {
@@ -152,7 +153,7 @@
     private void service(String kind, String name, boolean out) {
         text(kind);
         text(name);
-        flag(out);
+        bool(out);
     }
 
     private void unknown(Body.Unknown unknown) {
@@ -162,11 +163,11 @@
     }
 
     private void optionalText(Optional<String> value) {
-        flag(value.isPresent());
+        bool(value.isPresent());
         text(value.orElse(""));
     }
 
-    private void flag(boolean value) {
+    private void bool(boolean value) {
         number(value ? 1 : 0);
     }
 
--- a/wagtaillug-core/src/main/java/org/wagtaillug/configuration/Configuration.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/configuration/Configuration.java
@@ -11,37 +11,39 @@
 import org.wagtaillug.id.TemplateId;
 import org.wagtaillug.membership.Vm;
 
-/** What is in force at this node now, read by the parts that decide about traffic. */
+/** The configuration in force at this node, as used by the components that decide about traffic. */
 public interface Configuration {
     /**
      * A template and its version.
      *
      * @param version the offset of the change that set it
-     * @param template what it says
+     * @param template the template
      */
     record VersionedTemplate(long version, Template template) {}
 
-    /** The template of this name, if one is in force. */
+    /** The template with this id, if one is in force. */
     Optional<VersionedTemplate> template(TemplateId id);
 
-    /** The names of all templates in force, for error messages. */
+    /** The ids of all templates in force, for error messages. */
     Collection<TemplateId> templates();
 
-    /** The parameters of a customer, if it is known. */
+    /** The contract of a customer, if the customer is known. */
     Optional<CustomerContract> customer(CustomerId id);
 
-    /** The names of all customers in force, for error messages. */
+    /** The ids of all customers in force, for error messages. */
     Collection<CustomerId> customers();
 
-    /** What the servers of a pool bear; {@link PoolContract#unspecified} where operators said nothing. */
+    /** The contract of a pool; {@link PoolContract#unspecified} if operators have not set one. */
     PoolContract pool(PoolId id);
 
-    /** How many copies of which model are wanted. */
+    /** The models that should be loaded and their numbers of copies. */
     Collection<PlacementContract> placements();
 
-    /** Whether operators let new work go to a VM: neither it nor its failure domain is taken out. */
+    /**
+     * Whether a VM may get new work: neither the VM nor its failure domain has been taken out of service by operators.
+     */
     boolean inService(Vm vm);
 
-    /** The offset up to which the control stream is folded in. */
+    /** The offset of the last control stream record that has been applied. */
     long through();
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/configuration/ControlLog.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/configuration/ControlLog.java
@@ -17,8 +17,8 @@
 import org.wagtaillug.node.Effects;
 
 /**
- * Keeps a {@link ControlState} up with the control stream: reads it, appends operators' changes and answers them, and
- * writes snapshots.
+ * Keeps a {@link ControlState} up to date with the control stream: reads the stream, appends and answers operators'
+ * changes, and writes snapshots.
  *
  * <pre>{@code
  * ControlLog log = ControlLog.builder(self, address, new ControlState()).build();
@@ -27,61 +27,61 @@
  * }</pre>
  */
 public final class ControlLog {
-    /** How old the newest snapshot may grow by default. Must be well under the log's retention, a third at most. */
-    public static final Duration DEFAULT_SNAPSHOT_EVERY = Duration.ofMinutes(10);
+    /** Default interval between snapshots. Must be well below the log's retention, at most a third of it. */
+    public static final Duration DEFAULT_SNAPSHOT_INTERVAL = Duration.ofMinutes(10);
 
-    /** After this long without an answer a read counts as failed, and another is sent. */
+    /** A read that is not answered within this time counts as failed, and another one is sent. */
     static final Duration READ_TIMEOUT = Duration.ofSeconds(5);
 
     /**
-     * After this long without an answer the log no longer counts as reachable. Longer than a read waits at the tail, and
-     * so short that all nodes have said so to one another before their leases lapse.
+     * The log counts as unreachable if a read is not answered within this time. Longer than a read waits at the tail,
+     * and short enough for all nodes to tell one another before their leases expire.
      */
-    static final Duration READ_SLOW = Duration.ofMillis(1500);
+    static final Duration SLOW_READ_THRESHOLD = Duration.ofMillis(1500);
 
-    private static final Duration FIRST_RETRY = Duration.ofMillis(200);
-    private static final Duration LAST_RETRY = Duration.ofSeconds(1);
-    private static final Duration WAITED_AT_TAIL = Duration.ofMillis(100);
+    private static final Duration INITIAL_RETRY_DELAY = Duration.ofMillis(200);
+    private static final Duration MAX_RETRY_DELAY = Duration.ofSeconds(1);
+    private static final Duration TAIL_WAIT_THRESHOLD = Duration.ofMillis(100);
 
     private final NodeId self;
     private final NodeAddress address;
     private final ControlState state;
     private final PendingChanges pending;
-    private final SnapshotWriter writer;
+    private final SnapshotWriter snapshotWriter;
     private final SnapshotAssembler assembler = new SnapshotAssembler();
     private Optional<RosterListener> listener = Optional.empty();
 
     private Optional<Instant> readSentAt = Optional.empty();
     private Optional<Instant> nextReadAt = Optional.empty();
-    private Duration retry = FIRST_RETRY;
-    private boolean answered;
+    private Duration retryDelay = INITIAL_RETRY_DELAY;
+    private boolean lastReadSucceeded;
     private Optional<Instant> tailAskedAt = Optional.empty();
     private boolean complete;
 
-    private long oldestHeld;
-    private long scanFrom;
-    private boolean gapTold;
-    private boolean faultTold;
+    private long oldestRetained;
+    private long snapshotScanFrom;
+    private boolean gapReported;
+    private boolean invalidBatchReported;
 
     private ControlLog(Builder builder) {
         this.self = builder.self;
         this.address = builder.address;
         this.state = builder.state;
         this.pending = new PendingChanges(state);
-        this.writer = new SnapshotWriter(self, state, builder.snapshotEvery);
+        this.snapshotWriter = new SnapshotWriter(self, state, builder.snapshotInterval);
     }
 
-    /** Starts a log for one node. */
+    /** Starts a builder for the log of one node. */
     public static Builder builder(NodeId self, NodeAddress address, ControlState state) {
         return new Builder(self, address, state);
     }
 
-    /** Collects the parts of a {@link ControlLog}. */
+    /** Builder for {@link ControlLog}. */
     public static final class Builder {
         private final NodeId self;
         private final NodeAddress address;
         private final ControlState state;
-        private Duration snapshotEvery = DEFAULT_SNAPSHOT_EVERY;
+        private Duration snapshotInterval = DEFAULT_SNAPSHOT_INTERVAL;
 
         private Builder(NodeId self, NodeAddress address, ControlState state) {
             this.self = Objects.requireNonNull(self);
@@ -89,72 +89,72 @@
             this.state = Objects.requireNonNull(state);
         }
 
-        /** Sets how old the newest snapshot may grow; default {@link #DEFAULT_SNAPSHOT_EVERY}. */
-        public Builder snapshotEvery(Duration most) {
-            this.snapshotEvery = Objects.requireNonNull(most);
+        /** Sets the interval between snapshots; default {@link #DEFAULT_SNAPSHOT_INTERVAL}. */
+        public Builder snapshotInterval(Duration interval) {
+            this.snapshotInterval = Objects.requireNonNull(interval);
             return this;
         }
 
-        /** Builds the log. */
         public ControlLog build() {
             return new ControlLog(this);
         }
     }
 
-    /** This node. */
+    /** The id of this node. */
     public NodeId self() {
         return self;
     }
 
-    /** Where this node listens for others. */
+    /** The address at which this node listens for other nodes. */
     public NodeAddress address() {
         return address;
     }
 
-    /** What was read. */
+    /** The state derived from the records read so far. */
     public ControlState state() {
         return state;
     }
 
-    /** Sets who is told of each change of the roster. */
+    /** Sets the listener for changes of the roster. */
     public void listener(RosterListener rosterListener) {
         this.listener = Optional.of(rosterListener);
     }
 
-    /** Whether this node holds a whole state: it has read to the tail once, or got one from a peer. */
+    /** Whether this node has a complete state: it has read to the tail once, or has adopted a peer's state. */
     public boolean complete() {
         return complete;
     }
 
     /**
-     * When the newest read that reached the tail was sent. At that time no record stood on the stream that is not folded
-     * in here.
+     * When the newest read that reached the tail was sent. All records that were on the stream at that time have been
+     * applied here.
      */
     public Optional<Instant> tailAskedAt() {
         return tailAskedAt;
     }
 
-    /** Whether the last read was answered and none has been waiting for longer than usual. */
+    /** Whether the last read was answered and no read has been pending for longer than usual. */
     public boolean logReachable(Instant now) {
-        boolean slow = readSentAt.isPresent() && !now.isBefore(readSentAt.get().plus(READ_SLOW));
-        return answered && !slow;
+        boolean readIsSlow =
+                readSentAt.isPresent() && !now.isBefore(readSentAt.get().plus(SLOW_READ_THRESHOLD));
+        return lastReadSucceeded && !readIsSlow;
     }
 
-    /** Ends a pause between reads, for example because a peer has read more. */
+    /** Ends the delay before the next read, for example because a peer has read more. */
     public void readSoon(Instant now) {
         nextReadAt = Optional.of(now);
     }
 
-    /** Sends the next read, gives up reads and changes that were not answered, writes snapshots. */
+    /** Sends the next read, times out unanswered reads and changes, and writes snapshots. */
     public void onTick(Instant now, Effects effects) {
         if (readSentAt.isPresent() && !now.isBefore(readSentAt.get().plus(READ_TIMEOUT))) {
-            // A connection that has gone silent never ends the read by itself: the next read goes out on a new one.
+            // A connection that went silent never ends the read by itself: the next read is sent on a new connection.
             onLogReadFailed(now, effects);
         }
         readIfIdle(now, effects);
         pending.onTick(tailAskedAt, now, effects);
         if (complete && logReachable(now)) {
-            writer.onTick(now, effects);
+            snapshotWriter.onTick(now, effects);
         }
     }
 
@@ -171,58 +171,60 @@
 
     private long nextOffset() {
         long next = state.through() + 1;
-        return next < oldestHeld ? Math.max(scanFrom, oldestHeld) : next;
+        return next < oldestRetained ? Math.max(snapshotScanFrom, oldestRetained) : next;
     }
 
     /**
-     * Takes in what a read gave. An answer to a read that was given up is taken as well: what it says is still true.
+     * Applies the response to a read. The response to a read that timed out is applied as well: its content is still
+     * valid.
      *
      * @param askedAt when the read was sent
-     * @param batch what it gave
+     * @param batch the response
      */
     public void onLogRead(Instant askedAt, LogBatch batch, Instant now, Effects effects) {
-        if (!sound(batch, effects)) {
+        if (!isValid(batch, effects)) {
             onLogReadFailed(now, effects);
             return;
         }
         if (readSentAt.isPresent() && !askedAt.isBefore(readSentAt.get())) {
             readSentAt = Optional.empty();
         }
-        answered = true;
-        faultTold = false;
-        retry = FIRST_RETRY;
+        lastReadSucceeded = true;
+        invalidBatchReported = false;
+        retryDelay = INITIAL_RETRY_DELAY;
         nextReadAt = Optional.empty();
-        take(batch, now, effects);
-        noteTail(askedAt, batch);
-        pending.settle(effects);
-        // At the tail the service answers late, when something comes. One that answers at once, with nothing, would be
-        // asked without end if the next read did not wait for the next tick.
-        boolean waited = !now.isBefore(askedAt.plus(WAITED_AT_TAIL));
-        if (waited || !batch.entries().isEmpty()) {
+        applyBatch(batch, now, effects);
+        updateTail(askedAt, batch);
+        pending.answerResolved(effects);
+        // At the tail the service answers only when a record arrives or its wait ends. If it answers at once with no
+        // records, the next read waits for the next tick, since reading again immediately would loop.
+        boolean waitedAtTail = !now.isBefore(askedAt.plus(TAIL_WAIT_THRESHOLD));
+        if (waitedAtTail || !batch.entries().isEmpty()) {
             readIfIdle(now, effects);
         }
     }
 
-    /** Whether a batch can be what it claims to be. */
-    private boolean sound(LogBatch batch, Effects effects) {
+    /** Whether a batch is consistent with its read. */
+    private boolean isValid(LogBatch batch, Effects effects) {
         if (batch.end() < batch.from()) {
-            // Reads ask for nothing beyond the record after the last one known. A service that says it never had that
-            // one has lost records or is another service; to follow it would revert changes that are in force.
-            return fault("control-log-went-back", batch.from(), batch.end(), effects);
+            // Reads ask for nothing beyond the record after the last one known. If the service says that it never had
+            // that one, it has lost records or is a different service; following it would revert changes that are in
+            // force.
+            return reportInvalidBatch("control-log-went-back", batch.from(), batch.end(), effects);
         }
         long expected = Math.max(batch.from(), batch.oldest());
         for (LogBatch.Entry entry : batch.entries()) {
             if (entry.offset() != expected) {
-                return fault("control-log-unsound", expected, entry.offset(), effects);
+                return reportInvalidBatch("control-log-unsound", expected, entry.offset(), effects);
             }
             expected++;
         }
-        return expected <= batch.end() || fault("control-log-unsound", expected, batch.end(), effects);
+        return expected <= batch.end() || reportInvalidBatch("control-log-unsound", expected, batch.end(), effects);
     }
 
-    private boolean fault(String kind, long expected, long got, Effects effects) {
-        if (!faultTold) {
-            faultTold = true;
+    private boolean reportInvalidBatch(String kind, long expected, long got, Effects effects) {
+        if (!invalidBatchReported) {
+            invalidBatchReported = true;
             effects.add(new Effect.LogDecision(Decision.builder(kind)
                     .field("expected", expected)
                     .field("got", got)
@@ -231,31 +233,32 @@
         return false;
     }
 
-    private void take(LogBatch batch, Instant now, Effects effects) {
-        oldestHeld = Math.max(oldestHeld, batch.oldest());
+    private void applyBatch(LogBatch batch, Instant now, Effects effects) {
+        oldestRetained = Math.max(oldestRetained, batch.oldest());
         for (LogBatch.Entry entry : batch.entries()) {
             if (entry.offset() <= state.through() + 1) {
                 fold(entry, now);
             }
             if (entry.record() instanceof SnapshotPart part) {
-                takePart(part, entry, batch, now, effects);
+                addSnapshotPart(part, entry, batch, now, effects);
             }
         }
-        if (state.through() + 1 >= oldestHeld) {
-            scanFrom = 0;
-            gapTold = false;
+        if (state.through() + 1 >= oldestRetained) {
+            snapshotScanFrom = 0;
+            gapReported = false;
             return;
         }
-        // Records are missing between what is known and what the log still holds. Folding on could let a republished
-        // older change win against one that was dropped; only a whole snapshot or a peer's state leads across.
-        scanFrom = Math.max(scanFrom, batch.next());
-        if (gapTold) {
+        // Records are missing between the state and the oldest record that the log retains. Applying later records
+        // could let an older change that was appended again win against one that was dropped; only a complete snapshot
+        // or a peer's state closes the gap.
+        snapshotScanFrom = Math.max(snapshotScanFrom, batch.next());
+        if (gapReported) {
             return;
         }
-        gapTold = true;
+        gapReported = true;
         effects.add(new Effect.LogDecision(Decision.builder("control-log-gap")
                 .field("through", state.through())
-                .field("oldest", oldestHeld)
+                .field("oldest", oldestRetained)
                 .build()));
     }
 
@@ -263,28 +266,29 @@
         long before = state.rosterOffset();
         state.fold(entry);
         if (state.rosterOffset() != before) {
-            listener.ifPresent(told -> told.rosterChanged(entry.offset(), now));
+            listener.ifPresent(target -> target.rosterChanged(entry.offset(), now));
         }
     }
 
-    private void takePart(SnapshotPart part, LogBatch.Entry entry, LogBatch batch, Instant now, Effects effects) {
-        Optional<SnapshotAssembler.Snapshot> whole = assembler.accept(part);
-        if (whole.isEmpty()) {
+    private void addSnapshotPart(
+            SnapshotPart part, LogBatch.Entry entry, LogBatch batch, Instant now, Effects effects) {
+        Optional<SnapshotAssembler.Snapshot> assembled = assembler.add(part);
+        if (assembled.isEmpty()) {
             return;
         }
-        SnapshotAssembler.Snapshot snapshot = whole.get();
+        SnapshotAssembler.Snapshot snapshot = assembled.get();
         Duration age = Duration.between(entry.time(), batch.entries().getLast().time());
-        writer.seen(snapshot.through(), age.isNegative() ? Duration.ZERO : age, now);
+        snapshotWriter.onSnapshotRead(snapshot.through(), age.isNegative() ? Duration.ZERO : age, now);
         if (!state.adopt(snapshot.through(), snapshot.entries(), snapshot.members())) {
             return;
         }
         effects.add(new Effect.LogDecision(Decision.builder("control-snapshot-adopted")
                 .field("through", snapshot.through())
                 .build()));
-        listener.ifPresent(told -> told.rosterReplaced(snapshot.through(), now));
+        listener.ifPresent(target -> target.rosterReplaced(snapshot.through(), now));
     }
 
-    private void noteTail(Instant askedAt, LogBatch batch) {
+    private void updateTail(Instant askedAt, LogBatch batch) {
         if (state.through() < batch.end() - 1) {
             return;
         }
@@ -294,41 +298,41 @@
         }
     }
 
-    /** Takes note that a read failed; the next one waits 200 ms, then longer, up to 1 s. */
+    /** Handles a failed read; the next one is sent after 200 ms, with a delay that doubles up to 1 s. */
     public void onLogReadFailed(Instant now, Effects effects) {
         readSentAt = Optional.empty();
-        answered = false;
-        nextReadAt = Optional.of(now.plus(retry));
-        Duration doubled = retry.multipliedBy(2);
-        retry = doubled.compareTo(LAST_RETRY) > 0 ? LAST_RETRY : doubled;
+        lastReadSucceeded = false;
+        nextReadAt = Optional.of(now.plus(retryDelay));
+        Duration doubled = retryDelay.multipliedBy(2);
+        retryDelay = doubled.compareTo(MAX_RETRY_DELAY) > 0 ? MAX_RETRY_DELAY : doubled;
     }
 
     /**
-     * Appends an operator's change. Its answer, {@link Effect.ChangeAccepted} or {@link Effect.ChangeRefused}, comes
-     * when this node has read the record in its turn.
+     * Appends an operator's change. The answer, {@link Effect.ChangeAccepted} or {@link Effect.ChangeRefused}, follows
+     * when this node has read the record in order.
      */
     public void submit(Change change, Instant now, Effects effects) {
         pending.submit(change, complete, now, effects);
     }
 
-    /** Takes note of an append's place. Gives whether the append was of this part. */
+    /** Handles the acknowledgement of an append. Returns whether the append was sent by this component. */
     public boolean onAppended(long append, long offset, Instant now, Effects effects) {
-        if (writer.appendEnded(append)) {
+        if (snapshotWriter.onAppendEnded(append)) {
             return true;
         }
-        if (!pending.appended(append, offset)) {
+        if (!pending.onAppended(append, offset)) {
             return false;
         }
-        pending.settle(effects);
+        pending.answerResolved(effects);
         return true;
     }
 
-    /** Takes note of an append's failure. Gives whether the append was of this part. */
+    /** Handles a failed append. Returns whether the append was sent by this component. */
     public boolean onAppendFailed(long append, boolean mayTakeEffect, Instant now, Effects effects) {
-        return writer.appendEnded(append) || pending.appendFailed(append, mayTakeEffect, now, effects);
+        return snapshotWriter.onAppendEnded(append) || pending.onAppendFailed(append, mayTakeEffect, now, effects);
     }
 
-    /** Answers a peer that asks for the state; says nothing while there is none. */
+    /** Answers a peer's request for the state; sends nothing while there is none. */
     public void onStateAsk(VmId asker, Effects effects) {
         if (state.through() == 0) {
             return;
@@ -338,15 +342,15 @@
     }
 
     /**
-     * Takes over a peer's state if it is newer.
+     * Adopts a peer's state if it is newer.
      *
-     * @return whether it was taken
+     * @return whether it was adopted
      */
     public boolean onStateReply(PeerMessage.StateReply reply, Instant now, Effects effects) {
         if (!state.adopt(reply.through(), reply.entries(), reply.members())) {
             return false;
         }
-        replaced("control-state-adopted", now, effects);
+        onStateReplaced("control-state-adopted", now, effects);
         return true;
     }
 
@@ -354,21 +358,21 @@
      * Replaces a state that was found corrupt.
      *
      * @param expectedDigest the digest that several peers agree on
-     * @return whether it was replaced
+     * @return whether the state was replaced
      */
     public boolean onRepair(long expectedDigest, PeerMessage.StateReply reply, Instant now, Effects effects) {
         if (!state.repair(expectedDigest, reply.through(), reply.entries(), reply.members())) {
             return false;
         }
-        replaced("control-state-repaired", now, effects);
+        onStateReplaced("control-state-repaired", now, effects);
         return true;
     }
 
-    private void replaced(String kind, Instant now, Effects effects) {
+    private void onStateReplaced(String kind, Instant now, Effects effects) {
         complete = true;
         effects.add(new Effect.LogDecision(
                 Decision.builder(kind).field("through", state.through()).build()));
-        listener.ifPresent(told -> told.rosterReplaced(state.through(), now));
-        pending.settle(effects);
+        listener.ifPresent(target -> target.rosterReplaced(state.through(), now));
+        pending.answerResolved(effects);
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/configuration/ControlState.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/configuration/ControlState.java
@@ -30,31 +30,31 @@
 import org.wagtaillug.membership.Vm;
 
 /**
- * The configuration and the roster: a fold over the control stream in the order of offsets. Two states that were folded
- * through the same offset are equal, whatever way they came there: from the first record, from a snapshot or from a
- * peer.
+ * The configuration and the roster, derived by applying the records of the control stream in order of offset. Two
+ * states at the same offset are equal, whether they were built from the first record, from a snapshot or from a peer's
+ * state.
  *
- * <p>A change wins if and only if its base is the key's version when its turn comes. The rule looks at nothing but keys
- * and versions, so that a program that cannot read a body still agrees on which change won.
+ * <p>A change takes effect if and only if its base equals the version of the key when the change is applied. The rule
+ * uses only keys and versions, so that a program that cannot read a body still agrees on which changes took effect.
  */
 public final class ControlState implements Configuration {
-    /** For how many of the newest changes {@link #judgement} and {@link #won} know the outcome. */
-    static final int REMEMBERED_CHANGES = 512;
+    /** The number of newest changes whose outcome {@link #changeOutcome} and {@link #won} know. */
+    static final int MAX_RETAINED_OUTCOMES = 512;
 
     private final Map<String, StateEntry> entries = new TreeMap<>();
     private final Map<VmId, StateMember> members = new TreeMap<>();
     private final Set<DomainId> domainsOut = new HashSet<>();
     private final Set<VmId> vmsOut = new HashSet<>();
-    private final Map<Long, Judgement> judgementsByOffset = new LinkedHashMap<>();
-    private final Map<String, Judgement> judgementsById = new LinkedHashMap<>();
+    private final Map<Long, ChangeOutcome> outcomesByOffset = new LinkedHashMap<>();
+    private final Map<String, ChangeOutcome> outcomesByChangeId = new LinkedHashMap<>();
     private long through;
     private long digest;
     private long rosterOffset;
 
     /**
-     * Takes in the next record. One that was taken in before is ignored.
+     * Applies the next record. A record that was applied before is ignored.
      *
-     * @throws IllegalStateException if a record between was not taken in
+     * @throws IllegalStateException if a record in between was not applied
      */
     public void fold(LogBatch.Entry entry) {
         long offset = entry.offset();
@@ -62,14 +62,14 @@
             return;
         }
         if (offset != through + 1) {
-            // A missing record could be a change that a later one names as its base: folding on would let a change
-            // lose here that won elsewhere.
+            // A missing record could be a change that a later one names as its base: going on would reject a change
+            // here that took effect at other nodes.
             throw new IllegalStateException("record " + offset + " does not follow record " + through
-                    + ", the last one folded in; expected record " + (through + 1));
+                    + ", the last one applied; expected record " + (through + 1));
         }
         through = offset;
         switch (entry.record()) {
-            case Change change -> judge(change, offset);
+            case Change change -> applyChange(change, offset);
             case RosterChange change -> applyRoster(change, offset);
             case LogRecord.SnapshotPart ignored -> {}
             case LogRecord.ClaimBatch ignored -> {}
@@ -77,26 +77,27 @@
         }
     }
 
-    private void judge(Change change, long offset) {
+    private void applyChange(Change change, long offset) {
         long version = versionOf(change.key());
-        boolean won = change.base() == version;
-        if (won) {
+        boolean applied = change.base() == version;
+        if (applied) {
             put(new StateEntry(change.key(), offset, change.body()));
         }
-        remember(new Judgement(change, offset, won, won ? offset : version));
+        retainOutcome(new ChangeOutcome(change, offset, applied, applied ? offset : version));
     }
 
-    private void remember(Judgement judgement) {
-        judgementsByOffset.put(judgement.offset(), judgement);
-        // The first record of a change id decides: a copy that the network doubled always crosses the first one.
-        judgementsById.putIfAbsent(judgement.change().changeId(), judgement);
-        if (judgementsByOffset.size() <= REMEMBERED_CHANGES) {
+    private void retainOutcome(ChangeOutcome outcome) {
+        outcomesByOffset.put(outcome.offset(), outcome);
+        // The first record with a change id decides: a copy that was duplicated by the network always conflicts with
+        // the first one.
+        outcomesByChangeId.putIfAbsent(outcome.change().changeId(), outcome);
+        if (outcomesByOffset.size() <= MAX_RETAINED_OUTCOMES) {
             return;
         }
-        Iterator<Judgement> oldest = judgementsByOffset.values().iterator();
-        Judgement dropped = oldest.next();
+        Iterator<ChangeOutcome> oldest = outcomesByOffset.values().iterator();
+        ChangeOutcome dropped = oldest.next();
         oldest.remove();
-        judgementsById.remove(dropped.change().changeId(), dropped);
+        outcomesByChangeId.remove(dropped.change().changeId(), dropped);
     }
 
     private void applyRoster(RosterChange change, long offset) {
@@ -105,8 +106,8 @@
         boolean present = current != null && current.node().equals(subject);
         switch (change.kind()) {
             case JOIN -> {
-                boolean superseded = current != null && current.node().incarnation() >= subject.incarnation();
-                if (superseded || change.address().isEmpty()) {
+                boolean outdated = current != null && current.node().incarnation() >= subject.incarnation();
+                if (outdated || change.address().isEmpty()) {
                     return;
                 }
                 put(new StateMember(subject, offset, change.address().get()));
@@ -115,14 +116,14 @@
                 if (!present) {
                     return;
                 }
-                drop(current);
+                remove(current);
             }
             case REMOVE -> {
-                // A node that was itself removed must not take others along: it may be cut off without knowing it.
+                // A removed node must not remove others: it may be partitioned from the log without knowing it.
                 if (!present || !isMember(change.author())) {
                     return;
                 }
-                drop(current);
+                remove(current);
             }
             default -> throw new IllegalStateException("unknown roster change " + change.kind());
         }
@@ -130,26 +131,26 @@
     }
 
     private void put(StateEntry entry) {
-        StateEntry before = entries.put(entry.key(), entry);
-        digest += CanonicalForm.hash(entry);
-        if (before != null) {
-            digest -= CanonicalForm.hash(before);
-            noteService(before, false);
+        StateEntry previous = entries.put(entry.key(), entry);
+        digest += CanonicalEncoding.hash(entry);
+        if (previous != null) {
+            digest -= CanonicalEncoding.hash(previous);
+            updateServiceState(previous, false);
         }
-        noteService(entry, true);
+        updateServiceState(entry, true);
     }
 
-    private void noteService(StateEntry entry, boolean inForce) {
+    private void updateServiceState(StateEntry entry, boolean added) {
         if (entry.body() instanceof Body.DomainService service && entry.key().equals(service.key())) {
-            keep(domainsOut, service.domain(), inForce && service.out());
+            setPresent(domainsOut, service.domain(), added && service.out());
         }
         if (entry.body() instanceof Body.VmService service && entry.key().equals(service.key())) {
-            keep(vmsOut, service.vm(), inForce && service.out());
+            setPresent(vmsOut, service.vm(), added && service.out());
         }
     }
 
-    private static <T> void keep(Set<T> set, T item, boolean in) {
-        if (in) {
+    private static <T> void setPresent(Set<T> set, T item, boolean present) {
+        if (present) {
             set.add(item);
             return;
         }
@@ -157,56 +158,57 @@
     }
 
     private void put(StateMember member) {
-        StateMember before = members.put(member.node().vm(), member);
-        digest += CanonicalForm.hash(member);
-        if (before != null) {
-            digest -= CanonicalForm.hash(before);
+        StateMember previous = members.put(member.node().vm(), member);
+        digest += CanonicalEncoding.hash(member);
+        if (previous != null) {
+            digest -= CanonicalEncoding.hash(previous);
         }
     }
 
-    private void drop(StateMember member) {
+    private void remove(StateMember member) {
         members.remove(member.node().vm());
-        digest -= CanonicalForm.hash(member);
+        digest -= CanonicalEncoding.hash(member);
     }
 
     /**
-     * Takes over a whole state that somebody else folded, if it is newer than this one.
+     * Adopts a complete state that was built elsewhere, if it is newer than this one.
      *
-     * @param newThrough the last offset that is in it
+     * @param newThrough the last offset that the state includes
      * @param newEntries its configuration
      * @param newMembers its roster
-     * @return whether it was taken; never when it is not newer, so that an old snapshot or a stale peer reverts nothing
+     * @return whether it was adopted; a state that is not newer never is, so that an old snapshot or a stale peer
+     *     reverts nothing
      */
     public boolean adopt(long newThrough, List<StateEntry> newEntries, List<StateMember> newMembers) {
-        if (newThrough <= through || !wellFormed(newThrough, newEntries, newMembers)) {
+        if (newThrough <= through || !isWellFormed(newThrough, newEntries, newMembers)) {
             return false;
         }
-        replace(newThrough, newEntries, newMembers);
+        replaceAll(newThrough, newEntries, newMembers);
         return true;
     }
 
     /**
-     * Replaces a state that was found corrupt by another of at least the same offset.
+     * Replaces a state that was found corrupt with another one of at least the same offset.
      *
-     * @param expectedDigest the digest that the state must have to be taken
-     * @param newThrough the last offset that is in it
+     * @param expectedDigest the digest that the new state must have
+     * @param newThrough the last offset that the state includes
      * @param newEntries its configuration
      * @param newMembers its roster
-     * @return whether it was taken
+     * @return whether the state was replaced
      */
     public boolean repair(
             long expectedDigest, long newThrough, List<StateEntry> newEntries, List<StateMember> newMembers) {
-        if (newThrough < through || !wellFormed(newThrough, newEntries, newMembers)) {
+        if (newThrough < through || !isWellFormed(newThrough, newEntries, newMembers)) {
             return false;
         }
         if (digestOf(newEntries, newMembers) != expectedDigest) {
             return false;
         }
-        replace(newThrough, newEntries, newMembers);
+        replaceAll(newThrough, newEntries, newMembers);
         return true;
     }
 
-    private static boolean wellFormed(long newThrough, List<StateEntry> newEntries, List<StateMember> newMembers) {
+    private static boolean isWellFormed(long newThrough, List<StateEntry> newEntries, List<StateMember> newMembers) {
         for (StateEntry entry : newEntries) {
             if (entry.version() < 1 || entry.version() > newThrough) {
                 return false;
@@ -220,15 +222,15 @@
         return true;
     }
 
-    private void replace(long newThrough, List<StateEntry> newEntries, List<StateMember> newMembers) {
-        Map<String, StateEntry> before = new TreeMap<>(entries);
+    private void replaceAll(long newThrough, List<StateEntry> newEntries, List<StateMember> newMembers) {
+        Map<String, StateEntry> previous = new TreeMap<>(entries);
         entries.clear();
         members.clear();
         domainsOut.clear();
         vmsOut.clear();
         digest = 0;
         for (StateEntry entry : newEntries) {
-            put(readable(entry, before.get(entry.key())));
+            put(preferReadable(entry, previous.get(entry.key())));
         }
         for (StateMember member : newMembers) {
             put(member);
@@ -237,19 +239,22 @@
         rosterOffset = newThrough;
     }
 
-    /** An older program hands on bodies that it cannot read: what this one read of the same version stays. */
-    private static StateEntry readable(StateEntry offered, StateEntry own) {
-        boolean same = own != null && own.version() == offered.version();
-        return same && offered.body() instanceof Body.Unknown ? own : offered;
+    /**
+     * A peer that runs an older program sends bodies that it cannot read; if this node has read the body of the same
+     * version, it keeps its own.
+     */
+    private static StateEntry preferReadable(StateEntry offered, StateEntry own) {
+        boolean sameVersion = own != null && own.version() == offered.version();
+        return sameVersion && offered.body() instanceof Body.Unknown ? own : offered;
     }
 
     private static long digestOf(List<StateEntry> entries, List<StateMember> members) {
         long sum = 0;
         for (StateEntry entry : entries) {
-            sum += CanonicalForm.hash(entry);
+            sum += CanonicalEncoding.hash(entry);
         }
         for (StateMember member : members) {
-            sum += CanonicalForm.hash(member);
+            sum += CanonicalEncoding.hash(member);
         }
         return sum;
     }
@@ -260,27 +265,27 @@
     }
 
     /**
-     * The sum of the hashes of all entries and members, kept up with each change. Equal at equal offsets, whatever the
-     * order in which the parts came.
+     * The sum of the hashes of all entries and members, updated with each change. Equal for equal states, in whatever
+     * order the items were added.
      */
     public long digest() {
         return digest;
     }
 
     /**
-     * The offset of the last record that changed the roster; after {@link #adopt} the offset of the state that was
-     * taken, since the record itself is not known.
+     * The offset of the last record that changed the roster; after {@link #adopt} the offset of the adopted state,
+     * because the record itself is not known.
      */
     public long rosterOffset() {
         return rosterOffset;
     }
 
-    /** All keys that were ever set, removed ones included, in order of key. */
+    /** All keys that were ever set, including removed ones, ordered by key. */
     public List<StateEntry> entries() {
         return List.copyOf(entries.values());
     }
 
-    /** The roster in order of VM. */
+    /** The roster, ordered by VM. */
     public List<StateMember> members() {
         return List.copyOf(members.values());
     }
@@ -290,7 +295,7 @@
         return Optional.ofNullable(members.get(vm));
     }
 
-    /** Whether exactly this run of the daemon is in the roster. */
+    /** Whether exactly this incarnation of the node is in the roster. */
     public boolean isMember(NodeId node) {
         StateMember member = members.get(node.vm());
         return member != null && member.node().equals(node);
@@ -302,20 +307,20 @@
         return entry == null ? 0 : entry.version();
     }
 
-    /** What a key holds, if it was ever set. */
+    /** The entry of a key, if it was ever set. */
     public Optional<StateEntry> entry(String key) {
         return Optional.ofNullable(entries.get(key));
     }
 
-    /** Whether the record at an offset is one of the newest changes and won. */
+    /** Whether the record at an offset is one of the newest changes and took effect. */
     public boolean won(long offset) {
-        Judgement judgement = judgementsByOffset.get(offset);
-        return judgement != null && judgement.won();
+        ChangeOutcome outcome = outcomesByOffset.get(offset);
+        return outcome != null && outcome.applied();
     }
 
-    /** What became of a change, if its record was folded in here and is one of the newest. */
-    public Optional<Judgement> judgement(String changeId) {
-        return Optional.ofNullable(judgementsById.get(changeId));
+    /** The outcome of a change, if this node applied its record and it is one of the newest. */
+    public Optional<ChangeOutcome> changeOutcome(String changeId) {
+        return Optional.ofNullable(outcomesByChangeId.get(changeId));
     }
 
     @Override
--- a/wagtaillug-core/src/main/java/org/wagtaillug/configuration/PendingChanges.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/configuration/PendingChanges.java
@@ -18,35 +18,36 @@
 import org.wagtaillug.result.ResultCode;
 
 /**
- * Changes that operators handed to this node and that are not answered yet. A change is answered by what was read of
- * it, never by the append's answer alone, since only the order of offsets says whether it won.
+ * The changes that operators submitted to this node and that have not been answered yet. A change is answered only
+ * after its record has been read, never on the append's acknowledgement alone, because only the order of offsets
+ * decides whether it takes effect.
  */
 final class PendingChanges {
-    /** How long an uncertain append may still turn up while the stream can be read. */
-    static final Duration TURN_UP = Duration.ofSeconds(5);
+    /** How long an append with an unknown result may still appear on the log while the stream can be read. */
+    static final Duration UNCERTAIN_APPEND_WAIT = Duration.ofSeconds(5);
 
-    /** The longest that an operator is kept waiting, also while the log cannot be read. */
-    static final Duration LONGEST_WAIT = Duration.ofSeconds(30);
+    /** Maximum time until an operator gets an answer, even while the log cannot be read. */
+    static final Duration MAX_WAIT = Duration.ofSeconds(30);
 
     private static final Duration APPEND_TIMEOUT = Duration.ofSeconds(10);
-    private static final Duration COME_BACK = Duration.ofSeconds(1);
+    private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
     private final ControlState state;
-    private final Map<String, Pending> pending = new LinkedHashMap<>();
+    private final Map<String, PendingChange> pending = new LinkedHashMap<>();
     private final Set<Long> appends = new HashSet<>();
 
     PendingChanges(ControlState state) {
         this.state = state;
     }
 
-    private static final class Pending {
+    private static final class PendingChange {
         final Change change;
         final long append;
         final Instant submittedAt;
         long offset;
         Optional<Instant> uncertainSince = Optional.empty();
 
-        Pending(Change change, long append, Instant submittedAt) {
+        PendingChange(Change change, long append, Instant submittedAt) {
             this.change = change;
             this.append = append;
             this.submittedAt = submittedAt;
@@ -54,58 +55,59 @@
     }
 
     void submit(Change change, boolean complete, Instant now, Effects effects) {
-        Pending known = pending.get(change.changeId());
-        if (known != null && sameChange(known.change, change)) {
+        PendingChange existing = pending.get(change.changeId());
+        if (existing != null && sameChange(existing.change, change)) {
             return;
         }
-        Optional<Refusal> fault = fault(change, complete, known != null);
-        if (fault.isPresent()) {
-            effects.add(new Effect.ChangeRefused(change.changeId(), fault.get()));
+        Optional<Refusal> problem = validate(change, complete, existing != null);
+        if (problem.isPresent()) {
+            effects.add(new Effect.ChangeRefused(change.changeId(), problem.get()));
             return;
         }
-        Optional<Judgement> judged = judgementOf(change);
-        if (judged.isPresent()) {
-            answer(judged.get(), effects);
+        Optional<ChangeOutcome> outcome = outcomeOf(change);
+        if (outcome.isPresent()) {
+            answer(outcome.get(), effects);
             return;
         }
         long version = state.versionOf(change.key());
         if (change.base() < version) {
-            // Versions only rise, so this change can never win: nothing is gained by an append.
-            effects.add(new Effect.ChangeRefused(change.changeId(), crossed(change, version)));
+            // Versions only increase, so this change can never take effect and is not appended.
+            effects.add(new Effect.ChangeRefused(change.changeId(), versionConflict(change, version)));
             return;
         }
         long append = effects.nextAppend();
         appends.add(append);
-        pending.put(change.changeId(), new Pending(change, append, now));
+        pending.put(change.changeId(), new PendingChange(change, append, now));
         effects.add(new Effect.AppendToLog(append, LogStream.CONTROL, change));
     }
 
-    private Optional<Refusal> fault(Change change, boolean complete, boolean reused) {
+    private Optional<Refusal> validate(Change change, boolean complete, boolean idInUse) {
         if (!complete) {
             return Optional.of(Refusal.notRun(
                     ResultCode.NOT_READY,
-                    COME_BACK,
-                    "change " + change.changeId() + " came before this node held the whole configuration; try again"));
+                    RETRY_AFTER,
+                    "change " + change.changeId()
+                            + " was submitted before this node had read the complete configuration; retry later"));
         }
-        boolean usedBefore = state.judgement(change.changeId())
-                .filter(judgement -> !sameChange(judgement.change(), change))
+        boolean idUsedBefore = state.changeOutcome(change.changeId())
+                .filter(outcome -> !sameChange(outcome.change(), change))
                 .isPresent();
-        if (reused || usedBefore) {
+        if (idInUse || idUsedBefore) {
             return Optional.of(malformed("change id " + change.changeId()
                     + " was used for another change; expected an id that is unique to the change"));
         }
-        boolean knowsKey = !(change.body() instanceof Body.Removed) && !(change.body() instanceof Body.Unknown);
-        if (knowsKey && !change.body().key().equals(change.key())) {
-            return Optional.of(malformed("key " + change.key() + " does not fit its body; expected "
+        boolean bodyNamesKey = !(change.body() instanceof Body.Removed) && !(change.body() instanceof Body.Unknown);
+        if (bodyNamesKey && !change.body().key().equals(change.key())) {
+            return Optional.of(malformed("key " + change.key() + " does not match its body; expected "
                     + change.body().key()));
         }
-        int size = SnapshotWriter.estimate(new StateEntry(change.key(), change.base(), change.body()));
-        if (size > SnapshotWriter.LARGEST_PART) {
+        int size = SnapshotWriter.estimatedBytes(new StateEntry(change.key(), change.base(), change.body()));
+        if (size > SnapshotWriter.MAX_PART_BYTES) {
             return Optional.of(Refusal.notRun(
                     ResultCode.TOO_LARGE,
                     Duration.ZERO,
                     "the body of " + change.key() + " takes about " + size + " bytes; expected at most "
-                            + SnapshotWriter.LARGEST_PART));
+                            + SnapshotWriter.MAX_PART_BYTES));
         }
         return Optional.empty();
     }
@@ -114,122 +116,131 @@
         return Refusal.notRun(ResultCode.MALFORMED, Duration.ZERO, message);
     }
 
-    /** Whether the append is one of a change; notes its place. Its record may have been read before. */
-    boolean appended(long append, long offset) {
+    /**
+     * Handles the acknowledgement of an append and notes its offset. Returns whether it was an append of a change. The
+     * record may already have been read.
+     */
+    boolean onAppended(long append, long offset) {
         if (!appends.remove(append)) {
             return false;
         }
-        for (Pending waiting : pending.values()) {
-            if (waiting.append == append) {
-                waiting.offset = offset;
+        for (PendingChange candidate : pending.values()) {
+            if (candidate.append == append) {
+                candidate.offset = offset;
             }
         }
         return true;
     }
 
-    /** Whether the append is one of a change; refuses the change if it surely is not on the log. */
-    boolean appendFailed(long append, boolean mayTakeEffect, Instant now, Effects effects) {
+    /**
+     * Handles a failed append and refuses the change if it is certain not to be on the log. Returns whether it was an
+     * append of a change.
+     */
+    boolean onAppendFailed(long append, boolean mayTakeEffect, Instant now, Effects effects) {
         if (!appends.remove(append)) {
             return false;
         }
-        Iterator<Pending> waiting = pending.values().iterator();
-        while (waiting.hasNext()) {
-            Pending change = waiting.next();
-            if (change.append != append) {
+        Iterator<PendingChange> iterator = pending.values().iterator();
+        while (iterator.hasNext()) {
+            PendingChange waiting = iterator.next();
+            if (waiting.append != append) {
                 continue;
             }
             if (mayTakeEffect) {
-                change.uncertainSince = Optional.of(now);
+                waiting.uncertainSince = Optional.of(now);
                 continue;
             }
-            waiting.remove();
+            iterator.remove();
             effects.add(new Effect.ChangeRefused(
-                    change.change.changeId(),
+                    waiting.change.changeId(),
                     Refusal.notRun(
                             ResultCode.LOG_UNAVAILABLE,
-                            COME_BACK,
-                            "the log service did not take change " + change.change.changeId() + "; try again")));
+                            RETRY_AFTER,
+                            "the log service did not accept change " + waiting.change.changeId() + "; retry later")));
         }
         return true;
     }
 
-    /** Answers all whose record has been read. */
-    void settle(Effects effects) {
-        Iterator<Pending> waiting = pending.values().iterator();
-        while (waiting.hasNext()) {
-            Pending change = waiting.next();
-            Optional<Judgement> judged = judgementOf(change.change);
-            if (judged.isPresent()) {
-                waiting.remove();
-                answer(judged.get(), effects);
+    /** Answers all changes whose record has been read. */
+    void answerResolved(Effects effects) {
+        Iterator<PendingChange> iterator = pending.values().iterator();
+        while (iterator.hasNext()) {
+            PendingChange waiting = iterator.next();
+            Optional<ChangeOutcome> outcome = outcomeOf(waiting.change);
+            if (outcome.isPresent()) {
+                iterator.remove();
+                answer(outcome.get(), effects);
                 continue;
             }
-            if (change.offset == 0 || change.offset > state.through()) {
+            if (waiting.offset == 0 || waiting.offset > state.through()) {
                 continue;
             }
-            waiting.remove();
-            settleAfterJump(change, effects);
+            iterator.remove();
+            answerFromKeyVersion(waiting, effects);
         }
     }
 
-    /** The state was taken over whole, past the record: only the key's version is left to judge by. */
-    private void settleAfterJump(Pending change, Effects effects) {
-        String id = change.change.changeId();
-        long version = state.versionOf(change.change.key());
-        if (version == change.offset) {
+    /**
+     * Answers a change whose record was skipped because a complete state was adopted: only the version of its key tells
+     * whether it took effect.
+     */
+    private void answerFromKeyVersion(PendingChange waiting, Effects effects) {
+        String id = waiting.change.changeId();
+        long version = state.versionOf(waiting.change.key());
+        if (version == waiting.offset) {
             effects.add(new Effect.ChangeAccepted(id, version));
             return;
         }
-        if (version < change.offset) {
-            effects.add(new Effect.ChangeRefused(id, crossed(change.change, version)));
+        if (version < waiting.offset) {
+            effects.add(new Effect.ChangeRefused(id, versionConflict(waiting.change, version)));
             return;
         }
         effects.add(new Effect.ChangeRefused(
                 id,
-                unknown("change " + id + " stands at offset " + change.offset + ", but a newer one at " + version
-                        + " hides whether it won; look at " + change.change.key())));
+                unknown("change " + id + " is at offset " + waiting.offset + ", but a newer change at offset " + version
+                        + " hides whether it took effect; check " + waiting.change.key())));
     }
 
     /**
-     * Gives up those whose record never came.
+     * Answers the changes whose record never appeared.
      *
      * @param tailAskedAt when the newest read that reached the tail was sent
      */
     void onTick(Optional<Instant> tailAskedAt, Instant now, Effects effects) {
-        Iterator<Pending> waiting = pending.values().iterator();
-        while (waiting.hasNext()) {
-            Pending change = waiting.next();
-            if (change.offset == 0
-                    && change.uncertainSince.isEmpty()
-                    && !now.isBefore(change.submittedAt.plus(APPEND_TIMEOUT))) {
-                change.uncertainSince = Optional.of(now);
+        Iterator<PendingChange> iterator = pending.values().iterator();
+        while (iterator.hasNext()) {
+            PendingChange waiting = iterator.next();
+            if (waiting.offset == 0
+                    && waiting.uncertainSince.isEmpty()
+                    && !now.isBefore(waiting.submittedAt.plus(APPEND_TIMEOUT))) {
+                waiting.uncertainSince = Optional.of(now);
             }
-            if (!lost(change, tailAskedAt, now)) {
+            if (!isLost(waiting, tailAskedAt, now)) {
                 continue;
             }
-            waiting.remove();
+            iterator.remove();
             effects.add(new Effect.ChangeRefused(
-                    change.change.changeId(),
-                    unknown("nobody can say whether change " + change.change.changeId()
-                            + " is on the log; look at the version of " + change.change.key()
-                            + " before trying again")));
+                    waiting.change.changeId(),
+                    unknown("it is unknown whether change " + waiting.change.changeId()
+                            + " is on the log; check the version of " + waiting.change.key()
+                            + " before you retry")));
         }
     }
 
-    private static boolean lost(Pending change, Optional<Instant> tailAskedAt, Instant now) {
-        if (!now.isBefore(change.submittedAt.plus(LONGEST_WAIT))) {
+    private static boolean isLost(PendingChange waiting, Optional<Instant> tailAskedAt, Instant now) {
+        if (!now.isBefore(waiting.submittedAt.plus(MAX_WAIT))) {
             return true;
         }
-        if (change.uncertainSince.isEmpty() || tailAskedAt.isEmpty()) {
+        if (waiting.uncertainSince.isEmpty() || tailAskedAt.isEmpty()) {
             return false;
         }
-        // The record may still be on its way to the log, so that one look at the tail proves nothing; and even after
-        // the wait it may come, so that the answer is "unknown" and not "not run".
-        return !tailAskedAt.get().isBefore(change.uncertainSince.get().plus(TURN_UP));
+        // The record may still be in flight to the log, so a single read of the tail does not prove that it is lost. It
+        // may appear even after the wait, so the answer is "unknown" and not "not run".
+        return !tailAskedAt.get().isBefore(waiting.uncertainSince.get().plus(UNCERTAIN_APPEND_WAIT));
     }
 
-    private Optional<Judgement> judgementOf(Change change) {
-        return state.judgement(change.changeId()).filter(judgement -> sameChange(judgement.change(), change));
+    private Optional<ChangeOutcome> outcomeOf(Change change) {
+        return state.changeOutcome(change.changeId()).filter(outcome -> sameChange(outcome.change(), change));
     }
 
     private static boolean sameChange(Change one, Change other) {
@@ -239,21 +250,21 @@
                 && one.operator().equals(other.operator());
     }
 
-    private static void answer(Judgement judgement, Effects effects) {
-        Change change = judgement.change();
-        if (judgement.won()) {
-            effects.add(new Effect.ChangeAccepted(change.changeId(), judgement.offset()));
+    private static void answer(ChangeOutcome outcome, Effects effects) {
+        Change change = outcome.change();
+        if (outcome.applied()) {
+            effects.add(new Effect.ChangeAccepted(change.changeId(), outcome.offset()));
             return;
         }
-        effects.add(new Effect.ChangeRefused(change.changeId(), crossed(change, judgement.version())));
+        effects.add(new Effect.ChangeRefused(change.changeId(), versionConflict(change, outcome.version())));
     }
 
-    private static Refusal crossed(Change change, long version) {
+    private static Refusal versionConflict(Change change, long version) {
         return Refusal.notRun(
                 ResultCode.CHANGE_CROSSED,
                 Duration.ZERO,
-                "change " + change.changeId() + " of " + change.key() + " was made from version " + change.base()
-                        + ", but version " + version + " is in force; make it again from version " + version);
+                "change " + change.changeId() + " of " + change.key() + " is based on version " + change.base()
+                        + ", but version " + version + " is in force; submit it again based on version " + version);
     }
 
     private static Refusal unknown(String message) {
--- a/wagtaillug-core/src/main/java/org/wagtaillug/configuration/SnapshotAssembler.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/configuration/SnapshotAssembler.java
@@ -10,39 +10,43 @@
 import org.wagtaillug.log.LogRecord.StateEntry;
 import org.wagtaillug.log.LogRecord.StateMember;
 
-/** Puts the parts of snapshots together. Parts may be doubled, mixed with those of another snapshot, or missing. */
+/**
+ * Assembles snapshots from their parts. Parts may be duplicated, interleaved with parts of another snapshot, or
+ * missing.
+ */
 final class SnapshotAssembler {
     private final Map<String, Map<Integer, SnapshotPart>> parts = new HashMap<>();
 
     /**
-     * A whole snapshot.
+     * A complete snapshot.
      *
-     * @param through every record up to this offset is in it, none after it
+     * @param through the snapshot includes every record up to this offset and none after it
      * @param entries the configuration
      * @param members the roster
      */
     record Snapshot(long through, List<StateEntry> entries, List<StateMember> members) {}
 
-    /** Takes a part in and gives the snapshot if this was the last part that was missing. */
-    Optional<Snapshot> accept(SnapshotPart part) {
+    /** Adds a part. Returns the snapshot if this was the last missing part. */
+    Optional<Snapshot> add(SnapshotPart part) {
         if (part.part() < 0 || part.part() >= part.parts()) {
             return Optional.empty();
         }
-        Map<Integer, SnapshotPart> known = parts.computeIfAbsent(part.snapshotId(), id -> new TreeMap<>());
-        known.put(part.part(), part);
-        if (known.size() < part.parts()) {
+        Map<Integer, SnapshotPart> received = parts.computeIfAbsent(part.snapshotId(), id -> new TreeMap<>());
+        received.put(part.part(), part);
+        if (received.size() < part.parts()) {
             return Optional.empty();
         }
-        Optional<Snapshot> whole = join(known, part);
-        forgetUpTo(part.through());
-        return whole;
+        Optional<Snapshot> complete = join(received, part);
+        dropUpTo(part.through());
+        return complete;
     }
 
-    private static Optional<Snapshot> join(Map<Integer, SnapshotPart> known, SnapshotPart last) {
+    private static Optional<Snapshot> join(Map<Integer, SnapshotPart> received, SnapshotPart last) {
         List<StateEntry> entries = new ArrayList<>();
         List<StateMember> members = new ArrayList<>();
-        for (SnapshotPart part : known.values()) {
-            // Two writers that used one id by a fault would be mixed up: their parts disagree on the offset or count.
+        for (SnapshotPart part : received.values()) {
+            // If two writers used the same id by mistake, their parts would be mixed up; they differ in offset or
+            // count.
             if (part.through() != last.through() || part.parts() != last.parts()) {
                 return Optional.empty();
             }
@@ -52,8 +56,8 @@
         return Optional.of(new Snapshot(last.through(), entries, members));
     }
 
-    /** Drops what a whole snapshot has made useless: older ones that never became whole, and its own parts. */
-    private void forgetUpTo(long through) {
-        parts.values().removeIf(known -> known.values().iterator().next().through() <= through);
+    /** Drops the parts that a complete snapshot makes obsolete: its own and those of older, incomplete snapshots. */
+    private void dropUpTo(long through) {
+        parts.values().removeIf(received -> received.values().iterator().next().through() <= through);
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/configuration/SnapshotWriter.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/configuration/SnapshotWriter.java
@@ -17,107 +17,108 @@
 import org.wagtaillug.node.Effects;
 
 /**
- * Writes the control state to the stream again before retention drops what it was made from. The members take turns by
- * a rendezvous order, so that normally one of them writes; the next one steps in when no snapshot comes.
+ * Writes snapshots of the control state to the control stream before retention drops the records that the state was
+ * built from. The members are ranked by rendezvous hashing, so that normally one of them writes; the next one takes
+ * over if no snapshot appears.
  */
 final class SnapshotWriter {
-    /** The most bytes that one part may take by {@link #estimate}; the log service takes 262,144. */
-    static final int LARGEST_PART = 200_000;
+    /** Maximum size of one part in bytes, by {@link #estimatedBytes}; the log service accepts 262,144. */
+    static final int MAX_PART_BYTES = 200_000;
 
-    /** How much later than the one before it in the order a member writes. */
-    static final Duration TURN = Duration.ofSeconds(10);
+    /** The additional delay per rank before a member writes a snapshot. */
+    static final Duration TURN_INTERVAL = Duration.ofSeconds(10);
 
-    private static final Duration REWRITE = Duration.ofMinutes(1);
-    private static final int ENTRY_OVERHEAD = 200;
-    private static final int LAST_RANK = 8;
+    private static final Duration REWRITE_INTERVAL = Duration.ofMinutes(1);
+    private static final int ENTRY_OVERHEAD_BYTES = 200;
+    private static final int MAX_RANK = 8;
 
     private final NodeId self;
     private final ControlState state;
-    private final Duration every;
+    private final Duration interval;
     private final Rendezvous rendezvous = new Rendezvous();
     private final Set<Long> appends = new HashSet<>();
-    private Optional<Instant> seenAt = Optional.empty();
-    private Optional<Instant> writtenAt = Optional.empty();
-    private long seenThrough;
-    private long written;
+    private Optional<Instant> lastSnapshotAt = Optional.empty();
+    private Optional<Instant> lastWriteAt = Optional.empty();
+    private long lastSnapshotThrough;
+    private long writeCount;
 
-    SnapshotWriter(NodeId self, ControlState state, Duration every) {
+    SnapshotWriter(NodeId self, ControlState state, Duration interval) {
         this.self = self;
         this.state = state;
-        this.every = every;
+        this.interval = interval;
     }
 
-    /** About how many bytes an entry takes on the log: its text may be escaped, and its field names are repeated. */
-    static int estimate(StateEntry entry) {
-        return 2 * CanonicalForm.size(entry) + ENTRY_OVERHEAD;
+    /** Estimated size of an entry on the log, in bytes: its text may be escaped, and its field names are repeated. */
+    static int estimatedBytes(StateEntry entry) {
+        return 2 * CanonicalEncoding.size(entry) + ENTRY_OVERHEAD_BYTES;
     }
 
-    private static int estimate(StateMember member) {
-        return 2 * CanonicalForm.size(member) + ENTRY_OVERHEAD;
+    private static int estimatedBytes(StateMember member) {
+        return 2 * CanonicalEncoding.size(member) + ENTRY_OVERHEAD_BYTES;
     }
 
     /**
-     * Notes a whole snapshot.
+     * Records that a complete snapshot was read.
      *
-     * @param through its offset
-     * @param age how old it was by the service's clock when it was read
+     * @param through offset that the snapshot covers
+     * @param age age of the snapshot by the log service's clock when it was read
      */
-    void seen(long through, Duration age, Instant now) {
-        if (through < seenThrough) {
+    void onSnapshotRead(long through, Duration age, Instant now) {
+        if (through < lastSnapshotThrough) {
             return;
         }
-        seenThrough = through;
-        seenAt = Optional.of(now.minus(age));
+        lastSnapshotThrough = through;
+        lastSnapshotAt = Optional.of(now.minus(age));
     }
 
-    /** Writes a snapshot if one is due and it is this node's turn. Only to be called while the state is complete. */
+    /** Writes a snapshot if one is due and it is this node's turn. Must be called only while the state is complete. */
     void onTick(Instant now, Effects effects) {
-        if (seenAt.isEmpty()) {
-            seenAt = Optional.of(now);
+        if (lastSnapshotAt.isEmpty()) {
+            lastSnapshotAt = Optional.of(now);
         }
-        if (!due(now) || !state.isMember(self)) {
+        if (!isDue(now) || !state.isMember(self)) {
             return;
         }
-        writtenAt = Optional.of(now);
+        lastWriteAt = Optional.of(now);
         write(effects);
     }
 
-    private boolean due(Instant now) {
-        if (state.through() <= seenThrough) {
+    private boolean isDue(Instant now) {
+        if (state.through() <= lastSnapshotThrough) {
             return false;
         }
-        if (writtenAt.isPresent() && now.isBefore(writtenAt.get().plus(REWRITE))) {
+        if (lastWriteAt.isPresent() && now.isBefore(lastWriteAt.get().plus(REWRITE_INTERVAL))) {
             return false;
         }
-        Instant earliest = seenAt.orElse(now).plus(every);
+        Instant earliest = lastSnapshotAt.orElse(now).plus(interval);
         if (now.isBefore(earliest)) {
             return false;
         }
-        return !now.isBefore(earliest.plus(TURN.multipliedBy(rank())));
+        return !now.isBefore(earliest.plus(TURN_INTERVAL.multipliedBy(rank())));
     }
 
-    /** How many members come before this node in the order that the last snapshot's offset gives. */
+    /** The number of members that rank before this node in the order given by the last snapshot's offset. */
     private int rank() {
-        String turn = "snapshot/" + seenThrough;
-        long own = rendezvous.score(turn, self.vm().value());
+        String rankingKey = "snapshot/" + lastSnapshotThrough;
+        long ownScore = rendezvous.score(rankingKey, self.vm().value());
         int before = 0;
         for (StateMember member : state.members()) {
-            if (rendezvous.score(turn, member.node().vm().value()) > own) {
+            if (rendezvous.score(rankingKey, member.node().vm().value()) > ownScore) {
                 before++;
             }
         }
-        return Math.min(before, LAST_RANK);
+        return Math.min(before, MAX_RANK);
     }
 
     private void write(Effects effects) {
-        written++;
-        String snapshotId = self + "/" + state.through() + "/" + written;
+        writeCount++;
+        String snapshotId = self + "/" + state.through() + "/" + writeCount;
         List<StateMember> members = state.members();
-        int firstSize = 0;
+        int rosterBytes = 0;
         for (StateMember member : members) {
-            firstSize += estimate(member);
+            rosterBytes += estimatedBytes(member);
         }
-        List<List<StateEntry>> parts = split(firstSize);
+        List<List<StateEntry>> parts = split(rosterBytes);
         for (int part = 0; part < parts.size(); part++) {
             long append = effects.nextAppend();
             appends.add(append);
@@ -127,26 +128,29 @@
         }
     }
 
-    private List<List<StateEntry>> split(int firstSize) {
+    private List<List<StateEntry>> split(int rosterBytes) {
         List<List<StateEntry>> parts = new ArrayList<>();
         List<StateEntry> current = new ArrayList<>();
         parts.add(current);
-        int size = firstSize;
+        int size = rosterBytes;
         for (StateEntry entry : state.entries()) {
-            int more = estimate(entry);
-            if (size > 0 && size + more > LARGEST_PART) {
+            int entryBytes = estimatedBytes(entry);
+            if (size > 0 && size + entryBytes > MAX_PART_BYTES) {
                 current = new ArrayList<>();
                 parts.add(current);
                 size = 0;
             }
             current.add(entry);
-            size += more;
+            size += entryBytes;
         }
         return parts;
     }
 
-    /** Whether the append was one of a snapshot's parts. A lost part makes the snapshot useless; another is written. */
-    boolean appendEnded(long append) {
+    /**
+     * Handles the end of an append. Returns whether it was a part of a snapshot. If a part is lost, the snapshot is
+     * unusable and another one is written later.
+     */
+    boolean onAppendEnded(long append) {
         return appends.remove(append);
     }
 }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/configuration/ControlLogTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/configuration/ControlLogTest.java
@@ -56,12 +56,12 @@
         return Samples.change("anita", id, base, Samples.service(out));
     }
 
-    /** Submits a change and gives the number of its append. */
+    /** Submits a change and returns the number of its append. */
     private long submit(Change change) {
         log.submit(change, now, effects);
-        List<Effect> found = effects.drain();
-        assertThat(found).hasSize(1).first().isInstanceOf(Effect.AppendToLog.class);
-        return ((Effect.AppendToLog) found.getFirst()).append();
+        List<Effect> emitted = effects.drain();
+        assertThat(emitted).hasSize(1).first().isInstanceOf(Effect.AppendToLog.class);
+        return ((Effect.AppendToLog) emitted.getFirst()).append();
     }
 
     private Effect.ChangeRefused refusal() {
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void readsAgainAfterAFailureWithLongerAndLongerPauses() {
+    void retriesFailedReadsWithExponentialBackoff() {
         List<Long> pauses = new ArrayList<>();
         tickAfter(50);
         for (int failure = 0; failure < 5; failure++) {
@@ -90,14 +90,14 @@
     }
 
     /**
-     * A node never hears of a change again: the connection of its read went silent, and nothing ends the read. It must
-     * count the log as unreachable first, and then read on a new connection.
+     * The connection of a read went silent and nothing ended the read, so that the node never learned of another
+     * change. The node must first count the log as unreachable and then read on a new connection.
      */
     @Test
-    void givesUpAReadOnASilentConnection() {
+    void timesOutAReadOnASilentConnection() {
         assertThat(tickAfter(50)).contains(new Effect.ReadLog(LogStream.CONTROL, 1));
         assertThat(log.logReachable(now)).isTrue();
-        tickAfter(ControlLog.READ_SLOW.toMillis());
+        tickAfter(ControlLog.SLOW_READ_THRESHOLD.toMillis());
         assertThat(log.logReachable(now)).isFalse();
         assertThat(tickAfter(3_400)).isEmpty();
         tickAfter(100);
@@ -109,7 +109,7 @@
     }
 
     @Test
-    void theTailIsKnownAsOfTheSendingOfTheRead() {
+    void theTailIsConfirmedAsOfTheTimeWhenTheReadWasSent() {
         Instant sent = now.plusMillis(50);
         tickAfter(50);
         LogBatch batch = stream.read(1, 100);
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void refusesAtTheDoorWhatCannotBeRight() {
+    void refusesInvalidChangesOnSubmission() {
         Change wrongKey = new Change("domain/pl-b", 0, change("c", 0, true).body(), new OperatorId("anita"), "c");
         log.submit(wrongKey, now, effects);
         assertThat(refusal().refusal().message()).contains("expected domain/pl-a");
@@ -133,15 +133,15 @@
         submit(change("e", 0, true));
         log.submit(change("e", 1, true), now, effects);
         assertThat(refusal().refusal().message()).contains("unique");
-        ControlLog starting =
+        ControlLog incomplete =
                 ControlLog.builder(SELF, ADDRESS, new ControlState()).build();
-        starting.submit(change("c", 0, true), now, effects);
+        incomplete.submit(change("c", 0, true), now, effects);
         assertThat(refusal().refusal().code()).isEqualTo(ResultCode.NOT_READY);
     }
 
-    /** A state taken over from a peer jumps past the record of a change that is waiting here. */
+    /** A state adopted from a peer skips the record of a change that is pending here. */
     @Test
-    void afterAJumpTheKeysVersionJudges() {
+    void aChangeSkippedByAnAdoptedStateIsAnsweredFromTheKeysVersion() {
         long won = submit(change("c", 0, true));
         log.onAppended(won, 1, now, effects);
         ControlState peer = new ControlState();
@@ -157,20 +157,20 @@
         peer.fold(stream.all().get(1));
         peer.fold(stream.all().get(2));
         log.onStateReply(new PeerMessage.StateReply(3, peer.entries(), List.of()), now, effects);
-        List<Effect> found = effects.drain();
-        assertThat(found).contains(new Effect.ChangeAccepted("d", 2));
-        assertThat(found)
+        List<Effect> emitted = effects.drain();
+        assertThat(emitted).contains(new Effect.ChangeAccepted("d", 2));
+        assertThat(emitted)
                 .anyMatch(effect -> effect instanceof Effect.ChangeRefused refused
                         && refused.changeId().equals("e")
                         && refused.refusal().code() == ResultCode.CHANGE_CROSSED);
     }
 
     /**
-     * After the log service was set up anew, empty, every node would take the empty log for the truth and drop what
-     * operators have set. It must hold on to its state and not count as having read the tail.
+     * After the log service was set up again, empty, every node would follow the empty log and drop what operators have
+     * set. A node must keep its state and must not count the tail as read.
      */
     @Test
-    void aLogThatWentBackIsNotFollowed() {
+    void aLogThatLostRecordsIsNotFollowed() {
         stream.append(change("c", 0, true), now);
         read(1);
         Optional<Instant> tail = log.tailAskedAt();
@@ -182,7 +182,7 @@
     }
 
     @Test
-    void writesASnapshotInPartsThatFitWhenNoneWasSeen() {
+    void writesASnapshotInPartsWithinTheSizeLimitWhenNoneWasRead() {
         stream.append(new RosterChange(RosterChangeKind.JOIN, SELF, SELF, Optional.of(ADDRESS)), now);
         for (int key = 0; key < 10; key++) {
             Body body = new Body.Unknown("x", "y".repeat(30_000));
@@ -190,22 +190,22 @@
         }
         read(1);
         assertThat(snapshots(tickAfter(50))).isEmpty();
-        now = now.plus(ControlLog.DEFAULT_SNAPSHOT_EVERY).minusMillis(51);
+        now = now.plus(ControlLog.DEFAULT_SNAPSHOT_INTERVAL).minusMillis(51);
         read(12);
         assertThat(snapshots(tickAfter(0))).isEmpty();
         List<SnapshotPart> parts = snapshots(tickAfter(51));
         assertThat(parts).hasSize(4);
         assertThat(snapshots(tickAfter(50))).isEmpty();
         SnapshotAssembler assembler = new SnapshotAssembler();
-        Optional<SnapshotAssembler.Snapshot> whole = Optional.empty();
+        Optional<SnapshotAssembler.Snapshot> assembled = Optional.empty();
         for (SnapshotPart part : parts.reversed()) {
-            whole = assembler.accept(part);
+            assembled = assembler.add(part);
             stream.append(part, now);
         }
-        assertThat(whole.get().entries()).isEqualTo(log.state().entries());
-        assertThat(whole.get().members()).isEqualTo(log.state().members());
+        assertThat(assembled.get().entries()).isEqualTo(log.state().entries());
+        assertThat(assembled.get().members()).isEqualTo(log.state().members());
         read(12);
-        now = now.plus(ControlLog.DEFAULT_SNAPSHOT_EVERY).minus(Duration.ofSeconds(1));
+        now = now.plus(ControlLog.DEFAULT_SNAPSHOT_INTERVAL).minus(Duration.ofSeconds(1));
         read(16);
         assertThat(snapshots(tickAfter(0))).isEmpty();
         assertThat(snapshots(tickAfter(1_000))).isNotEmpty();
@@ -222,7 +222,7 @@
     }
 
     @Test
-    void aSnapshotLeavesTheRecordsAfterItsOffsetToBeRead() {
+    void recordsAfterTheOffsetOfASnapshotAreStillRead() {
         for (int count = 0; count < 3; count++) {
             stream.append(change("c" + count, count, true), now);
         }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/configuration/ControlStateTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/configuration/ControlStateTest.java
@@ -34,54 +34,54 @@
 
 class ControlStateTest {
     @Provide
-    Arbitrary<List<RecordSteps.Step>> steps() {
-        return RecordSteps.lists(60);
+    Arbitrary<List<RandomRecords.Step>> steps() {
+        return RandomRecords.lists(60);
     }
 
     @Property(tries = 400, seed = "20261202", edgeCases = EdgeCasesMode.NONE)
-    void foldsLikeTheNaiveVersionAfterEachRecord(@ForAll("steps") List<RecordSteps.Step> steps) {
-        List<LogBatch.Entry> entries = RecordSteps.logOf(steps).all();
+    void matchesTheNaiveImplementationAfterEachRecord(@ForAll("steps") List<RandomRecords.Step> steps) {
+        List<LogBatch.Entry> entries = RandomRecords.logOf(steps).all();
         ControlState state = new ControlState();
         for (int count = 1; count <= entries.size(); count++) {
             LogBatch.Entry entry = entries.get(count - 1);
             state.fold(entry);
             List<LogBatch.Entry> read = entries.subList(0, count);
-            assertThat(state.entries()).isEqualTo(NaiveControl.entries(read));
-            assertThat(state.members()).isEqualTo(NaiveControl.members(read));
+            assertThat(state.entries()).isEqualTo(NaiveControlState.entries(read));
+            assertThat(state.members()).isEqualTo(NaiveControlState.members(read));
             if (entry.record() instanceof Change change) {
-                boolean won = NaiveControl.versions(read, change.key()).getLast() == count;
-                assertThat(state.won(count)).isEqualTo(won);
+                boolean applied = NaiveControlState.versions(read, change.key()).getLast() == count;
+                assertThat(state.won(count)).isEqualTo(applied);
             }
         }
     }
 
     @Property(tries = 200, seed = "20261203", edgeCases = EdgeCasesMode.NONE)
-    void equalStatesHaveEqualDigestsWhateverTheWayTheyCame(@ForAll("steps") List<RecordSteps.Step> steps) {
-        ControlState folded = folded(RecordSteps.logOf(steps));
-        List<StateEntry> shuffled = new ArrayList<>(folded.entries());
+    void equalStatesHaveEqualDigestsHoweverTheyWereBuilt(@ForAll("steps") List<RandomRecords.Step> steps) {
+        ControlState stateOf = stateOf(RandomRecords.logOf(steps));
+        List<StateEntry> shuffled = new ArrayList<>(stateOf.entries());
         Collections.shuffle(shuffled, new Random(steps.size()));
         ControlState adopted = new ControlState();
-        assertThat(adopted.adopt(folded.through(), shuffled, folded.members().reversed()))
+        assertThat(adopted.adopt(stateOf.through(), shuffled, stateOf.members().reversed()))
                 .isTrue();
-        assertThat(adopted.digest()).isEqualTo(folded.digest());
-        assertThat(adopted.entries()).isEqualTo(folded.entries());
+        assertThat(adopted.digest()).isEqualTo(stateOf.digest());
+        assertThat(adopted.entries()).isEqualTo(stateOf.entries());
         if (!shuffled.isEmpty()) {
             StateEntry last = shuffled.getLast();
             shuffled.set(shuffled.size() - 1, new StateEntry(last.key(), last.version(), new Body.Unknown("x", "y")));
             ControlState other = new ControlState();
-            other.adopt(folded.through(), shuffled, folded.members());
-            assertThat(other.digest()).isNotEqualTo(folded.digest());
+            other.adopt(stateOf.through(), shuffled, stateOf.members());
+            assertThat(other.digest()).isNotEqualTo(stateOf.digest());
         }
     }
 
-    static ControlState folded(FakeLog log) {
+    static ControlState stateOf(FakeLog log) {
         ControlState state = new ControlState();
         log.all().forEach(state::fold);
         return state;
     }
 
     @Test
-    void namesBothOffsetsWhenARecordIsMissing() {
+    void reportsBothOffsetsWhenARecordIsMissing() {
         ControlState state = new ControlState();
         state.fold(change(1, 0, Samples.service(true)));
         assertThatThrownBy(() -> state.fold(change(3, 1, Samples.service(false))))
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void takesNoStateThatIsNotNewerOrThatContradictsItself() {
+    void rejectsAStateThatIsNotNewerOrIsMalformed() {
         ControlState state = new ControlState();
         state.fold(change(1, 0, Samples.service(true)));
         state.fold(change(2, 1, Samples.service(false)));
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void aPeerThatCannotReadABodyDoesNotTakeItAway() {
+    void aBodyThatAPeerCannotReadIsKept() {
         ControlState state = new ControlState();
         state.fold(change(1, 0, Samples.service(true)));
         StateEntry unread = new StateEntry(Body.domainKey(Samples.DOMAIN), 1, new Body.Unknown("domain", "{}"));
@@ -115,7 +115,7 @@
     }
 
     @Test
-    void showsWhatIsInForce() {
+    void returnsTheConfigurationInForce() {
         Template template = Template.builder("menu-draft")
                 .stage(Stage.builder("encode").build())
                 .build();
--- a/wagtaillug-core/src/test/java/org/wagtaillug/configuration/FakeLog.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/configuration/FakeLog.java
@@ -6,7 +6,7 @@
 import org.wagtaillug.log.LogBatch;
 import org.wagtaillug.log.LogRecord;
 
-/** A control stream in memory. */
+/** In-memory control stream. */
 public final class FakeLog {
     private final List<LogBatch.Entry> entries = new ArrayList<>();
     private long oldest = 1;
@@ -25,9 +25,9 @@
         long first = Math.max(from, oldest);
         long end = entries.size() + 1;
         long after = Math.max(first, Math.min(end, first + limit));
-        List<LogBatch.Entry> found =
+        List<LogBatch.Entry> batchEntries =
                 first >= end ? List.of() : entries.subList((int) first - 1, (int) Math.min(after, end) - 1);
-        return new LogBatch(from, oldest, end, found);
+        return new LogBatch(from, oldest, end, batchEntries);
     }
 
     public List<LogBatch.Entry> all() {
--- a/wagtaillug-core/src/test/java/org/wagtaillug/configuration/NaiveControl.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/configuration/NaiveControlState.java
@@ -11,11 +11,11 @@
 import org.wagtaillug.log.LogRecord.StateEntry;
 import org.wagtaillug.log.LogRecord.StateMember;
 
-/** The control state by going through the whole list for each question. */
-final class NaiveControl {
-    private NaiveControl() {}
+/** Naive reference implementation of the control state: scans the whole list of records for each query. */
+final class NaiveControlState {
+    private NaiveControlState() {}
 
-    /** 0 and then the offsets of all changes of a key that won. */
+    /** 0, followed by the offsets of all changes of a key that took effect. */
     static List<Long> versions(List<LogBatch.Entry> entries, String key) {
         List<Long> versions = new ArrayList<>(List.of(0L));
         for (LogBatch.Entry entry : entries) {
@@ -29,15 +29,15 @@
     }
 
     static List<StateEntry> entries(List<LogBatch.Entry> entries) {
-        List<StateEntry> found = new ArrayList<>();
+        List<StateEntry> result = new ArrayList<>();
         for (LogBatch.Entry entry : entries) {
             if (entry.record() instanceof Change change
                     && versions(entries, change.key()).getLast() == entry.offset()) {
-                found.add(new StateEntry(change.key(), entry.offset(), change.body()));
+                result.add(new StateEntry(change.key(), entry.offset(), change.body()));
             }
         }
-        found.sort(Comparator.comparing(StateEntry::key));
-        return found;
+        result.sort(Comparator.comparing(StateEntry::key));
+        return result;
     }
 
     static List<StateMember> members(List<LogBatch.Entry> entries) {
@@ -48,19 +48,19 @@
             }
             NodeId subject = change.subject();
             if (change.kind() == RosterChangeKind.JOIN) {
-                boolean late = members.stream()
+                boolean outdated = members.stream()
                         .anyMatch(member -> member.node().vm().equals(subject.vm())
                                 && member.node().incarnation() >= subject.incarnation());
-                if (!late) {
+                if (!outdated) {
                     members.removeIf(member -> member.node().vm().equals(subject.vm()));
                     members.add(new StateMember(
                             subject, entry.offset(), change.address().get()));
                 }
                 continue;
             }
-            boolean heard = change.kind() == RosterChangeKind.LEAVE
+            boolean accepted = change.kind() == RosterChangeKind.LEAVE
                     || members.stream().anyMatch(member -> member.node().equals(change.author()));
-            members.removeIf(member -> heard && member.node().equals(subject));
+            members.removeIf(member -> accepted && member.node().equals(subject));
         }
         members.sort(Comparator.comparing(StateMember::node));
         return members;
--- a/wagtaillug-core/src/test/java/org/wagtaillug/configuration/OperatorRaceGoldenTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/configuration/OperatorRaceGoldenTest.java
@@ -17,24 +17,25 @@
 import org.wagtaillug.node.Effects;
 
 /**
- * Two operators change the service of one zone at the same time through two nodes, and both are told that it worked; or
- * one is told that it failed, tries again, and undoes the other's work. The causes: records that cross, answers that are
- * lost after the append took effect, appends that arrive late, a log that is down. The golden file shows the session.
+ * Two operators changed the service state of one zone at the same time through two nodes, and both were told that it
+ * worked; or one was told that it failed, retried, and undid the other's change. Causes: conflicting records,
+ * acknowledgements lost after the append took effect, delayed appends, an unavailable log. The golden file shows the
+ * session.
  */
 class OperatorRaceGoldenTest {
     private static final Path GOLDEN = Path.of("src/test/resources/golden/operator-race.txt");
 
     private final FakeLog stream = new FakeLog();
-    private final StringBuilder text = new StringBuilder();
-    private long time;
+    private final StringBuilder transcript = new StringBuilder();
+    private long timeMillis;
 
-    private final class Entry {
+    private final class EntryNode {
         final String name;
         final Effects effects = new Effects();
         final ControlLog log;
         final Map<String, Long> appends = new HashMap<>();
 
-        Entry(String name) {
+        EntryNode(String name) {
             this.name = name;
             log = ControlLog.builder(new NodeId(new VmId(name), 1), Samples.ADDRESS, new ControlState())
                     .build();
@@ -42,49 +43,49 @@
 
         void tick() {
             log.onTick(now(), effects);
-            show("tick");
+            record("tick");
         }
 
         void submit(Change change) {
             log.submit(change, now(), effects);
-            show(change.operator() + " submits " + change.changeId() + " from version " + change.base() + ": "
+            record(change.operator() + " submits " + change.changeId() + " from version " + change.base() + ": "
                     + change.body());
         }
 
         void read() {
             LogBatch batch = stream.read(log.state().through() + 1, 100);
             log.onLogRead(now(), batch, now(), effects);
-            show("reads " + batch.entries().size() + " records from " + batch.from());
+            record("reads " + batch.entries().size() + " records from " + batch.from());
         }
 
         void readFailed() {
             log.onLogReadFailed(now(), effects);
-            show("read failed");
+            record("read failed");
         }
 
         void appended(String changeId, long offset) {
             boolean own = log.onAppended(appends.get(changeId), offset, now(), effects);
-            show("append of " + changeId + " answered: " + offset + ", own " + own);
+            record("append of " + changeId + " answered: " + offset + ", own " + own);
         }
 
         void appendFailed(String changeId, boolean mayTakeEffect) {
             boolean own = log.onAppendFailed(appends.get(changeId), mayTakeEffect, now(), effects);
-            show("append of " + changeId + " failed, may take effect " + mayTakeEffect + ", own " + own);
+            record("append of " + changeId + " failed, may take effect " + mayTakeEffect + ", own " + own);
         }
 
-        private void show(String event) {
-            text.append(String.format("%6d %s < %s%n", time, name, event));
+        private void record(String event) {
+            transcript.append(String.format("%6d %s < %s%n", timeMillis, name, event));
             for (Effect effect : effects.drain()) {
                 if (effect instanceof Effect.AppendToLog append && append.record() instanceof Change change) {
                     appends.put(change.changeId(), append.append());
                 }
-                text.append(String.format("       %s > %s%n", name, effect));
+                transcript.append(String.format("       %s > %s%n", name, effect));
             }
         }
     }
 
     private Instant now() {
-        return Instant.ofEpochMilli(time);
+        return Instant.ofEpochMilli(timeMillis);
     }
 
     private static Change change(String operator, String id, long base, boolean out) {
@@ -93,30 +94,30 @@
 
     private void log(Change change) {
         long offset = stream.append(change, now());
-        text.append(String.format("%6d log %d: %s%n", time, offset, change.changeId()));
+        transcript.append(String.format("%6d log %d: %s%n", timeMillis, offset, change.changeId()));
     }
 
     @Test
-    void twoOperatorsRace() throws IOException {
-        Entry one = new Entry("entry-1");
-        Entry two = new Entry("entry-2");
+    void twoOperatorsChangeTheSameKeyConcurrently() throws IOException {
+        EntryNode one = new EntryNode("entry-1");
+        EntryNode two = new EntryNode("entry-2");
         one.submit(change("anita", "too-early", 0, true));
         one.tick();
         one.read();
         two.tick();
         two.read();
-        crossing(one, two);
-        lostAnswer(one, two);
-        logDown(one);
+        conflictingChanges(one, two);
+        lostAcknowledgement(one, two);
+        logUnavailable(one);
         if (Boolean.getBoolean("wagtaillug.golden.write")) {
             Files.createDirectories(GOLDEN.getParent());
-            Files.writeString(GOLDEN, text);
+            Files.writeString(GOLDEN, transcript);
         }
-        assertThat(text.toString()).isEqualToNormalizingNewlines(Files.readString(GOLDEN));
+        assertThat(transcript.toString()).isEqualToNormalizingNewlines(Files.readString(GOLDEN));
     }
 
-    private void crossing(Entry one, Entry two) {
-        time = 1_000;
+    private void conflictingChanges(EntryNode one, EntryNode two) {
+        timeMillis = 1_000;
         Change anita = change("anita", "out-1", 0, true);
         Change bikash = change("bikash", "back-1", 0, false);
         one.submit(anita);
@@ -131,15 +132,15 @@
         one.submit(change("anita", "out-1", 0, true));
     }
 
-    private void lostAnswer(Entry one, Entry two) {
-        time = 2_000;
+    private void lostAcknowledgement(EntryNode one, EntryNode two) {
+        timeMillis = 2_000;
         Change again = change("anita", "out-3", 1, true);
         one.submit(again);
         one.submit(again);
-        time = 3_000;
+        timeMillis = 3_000;
         one.appendFailed("out-3", true);
         one.read();
-        time = 4_000;
+        timeMillis = 4_000;
         log(again);
         log(again);
         one.read();
@@ -147,27 +148,27 @@
         two.submit(again);
     }
 
-    private void logDown(Entry one) {
-        time = 5_000;
+    private void logUnavailable(EntryNode one) {
+        timeMillis = 5_000;
         one.submit(change("anita", "back-2", 3, false));
         one.appendFailed("back-2", false);
         one.submit(change("anita", "back-3", 3, false));
         one.readFailed();
         one.appendFailed("back-3", true);
-        time = 9_999;
+        timeMillis = 9_999;
         one.tick();
         one.read();
         one.tick();
-        time = 10_000;
+        timeMillis = 10_000;
         one.read();
         one.tick();
-        time = 20_000;
+        timeMillis = 20_000;
         one.submit(change("anita", "back-4", 3, false));
         one.appendFailed("back-4", true);
         one.readFailed();
-        time = 49_999;
+        timeMillis = 49_999;
         one.tick();
-        time = 50_000;
+        timeMillis = 50_000;
         one.tick();
         log(change("anita", "back-4", 3, false));
         one.read();
--- a/wagtaillug-core/src/test/java/org/wagtaillug/configuration/RecordSteps.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/configuration/RandomRecords.java
@@ -20,20 +20,20 @@
 import org.wagtaillug.log.LogRecord.RosterChange;
 import org.wagtaillug.log.LogRecord.RosterChangeKind;
 
-/** Random control records of which many cross, repeat one another or concern nodes that are gone. */
-final class RecordSteps {
-    private RecordSteps() {}
+/** Random control records, many of which conflict, are duplicates or concern nodes that have left. */
+final class RandomRecords {
+    private RandomRecords() {}
 
-    record Step(int kind, int subject, int author, int back) {}
+    record Step(int kind, int subject, int author, int versionsBack) {}
 
-    static Arbitrary<List<Step>> lists(int most) {
+    static Arbitrary<List<Step>> lists(int maxSize) {
         Arbitrary<Step> step = Combinators.combine(
                         Arbitraries.integers().between(0, 11),
                         Arbitraries.integers().between(0, 7),
                         Arbitraries.integers().between(0, 7),
                         Arbitraries.integers().between(0, 3))
                 .as(Step::new);
-        return step.list().ofMinSize(1).ofMaxSize(most);
+        return step.list().ofMinSize(1).ofMaxSize(maxSize);
     }
 
     static FakeLog logOf(List<Step> steps) {
@@ -44,22 +44,23 @@
         return log;
     }
 
-    static LogRecord record(Step step, List<LogBatch.Entry> before) {
+    static LogRecord record(Step step, List<LogBatch.Entry> preceding) {
         if (step.kind() == 11) {
             return new LogRecord.Unreadable(9);
         }
         if (step.kind() >= 7) {
             return roster(step);
         }
-        if (step.kind() == 6 && !before.isEmpty()) {
-            return before.get(before.size() - 1 - step.subject() % before.size())
+        if (step.kind() == 6 && !preceding.isEmpty()) {
+            return preceding
+                    .get(preceding.size() - 1 - step.subject() % preceding.size())
                     .record();
         }
         PoolId pool = new PoolId("pool-" + step.subject() % 3);
         String key = "pool/" + pool;
-        List<Long> versions = NaiveControl.versions(before, key);
-        long base = versions.get(Math.max(0, versions.size() - 1 - step.back()));
-        String changeId = "change-" + before.size();
+        List<Long> versions = NaiveControlState.versions(preceding, key);
+        long base = versions.get(Math.max(0, versions.size() - 1 - step.versionsBack()));
+        String changeId = "change-" + preceding.size();
         return new Change(key, base, body(step, pool), new OperatorId("operator-" + step.author() % 2), changeId);
     }
 
@@ -80,12 +81,12 @@
                     case 9 -> RosterChangeKind.LEAVE;
                     default -> RosterChangeKind.REMOVE;
                 };
-        NodeAddress address = new NodeAddress("127.0.0.1", 7000 + step.back(), new DomainId("pl-a"));
+        NodeAddress address = new NodeAddress("127.0.0.1", 7000 + step.versionsBack(), new DomainId("pl-a"));
         Optional<NodeAddress> joins = kind == RosterChangeKind.JOIN ? Optional.of(address) : Optional.empty();
         return new RosterChange(kind, node(step.subject()), node(step.author()), joins);
     }
 
-    /** Four VMs with two runs each. */
+    /** One of four VMs with two incarnations each. */
     private static NodeId node(int number) {
         return new NodeId(new VmId("entry-" + number % 4), 1 + number / 4);
     }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/configuration/Samples.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/configuration/Samples.java
@@ -12,7 +12,7 @@
 import org.wagtaillug.log.LogRecord.NodeAddress;
 import org.wagtaillug.membership.Vm;
 
-/** Nodes, upstreams and changes that the tests of the control state share. */
+/** Sample nodes, upstreams and changes for the tests of the control state. */
 public final class Samples {
     public static final DomainId DOMAIN = new DomainId("pl-a");
     public static final NodeAddress ADDRESS = address("pl-a");
@@ -32,7 +32,7 @@
         return new Vm(new VmId(vm), pool, new DomainId(domain), new RegionId("port-louis"), "127.0.0.1", 9000, false);
     }
 
-    /** What takes {@link #DOMAIN} out of service or brings it back. */
+    /** The body that takes {@link #DOMAIN} out of service or returns it to service. */
     public static Body service(boolean out) {
         return new Body.DomainService(DOMAIN, out);
     }
