--- a/wagtaillug-core/src/main/java/org/wagtaillug/log/LogRecord.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/log/LogRecord.java
@@ -11,58 +11,58 @@
 import org.wagtaillug.result.ResultCode;
 import org.wagtaillug.result.RunState;
 
-/** One record of a stream. */
+/** A record of a stream. */
 public sealed interface LogRecord {
     /**
-     * An operator's change of one configuration key. It wins if and only if {@code base} is the key's version when the
-     * record's turn comes in the order of offsets; its offset is then the key's new version.
+     * An operator's change of one configuration key. It takes effect if and only if {@code base} equals the version of
+     * the key when the record is applied in order of offsets; its offset is then the new version of the key.
      *
-     * @param key what is changed, for example {@code template/menu-draft}
-     * @param base the version that the operator saw; 0 for a key that did not exist
+     * @param key the key, for example {@code template/menu-draft}
+     * @param base the version that the change is based on; 0 for a key that did not exist
      * @param body the new body
-     * @param operator who
-     * @param changeId unique to the change, by which its sender finds it again
+     * @param operator the operator
+     * @param changeId unique id by which the sender finds the change again
      */
     record Change(String key, long base, Body body, OperatorId operator, String changeId) implements LogRecord {}
 
     /**
-     * A node that joins, or that another or itself takes from the roster.
+     * A change of the roster: a node joins, leaves, or is removed by another node.
      *
-     * @param kind what happens
-     * @param subject the node that it happens to
+     * @param kind the kind of change
+     * @param subject the node that joins, leaves or is removed
      * @param author the node that wrote the record
      * @param address where the subject listens for other nodes; empty unless it joins
      */
     record RosterChange(RosterChangeKind kind, NodeId subject, NodeId author, Optional<NodeAddress> address)
             implements LogRecord {}
 
-    /** What a {@link RosterChange} does. */
+    /** The kind of a {@link RosterChange}. */
     enum RosterChangeKind {
-        /** The subject begins to take part. Replaces an older incarnation on the same VM. */
+        /** The subject joins. Replaces an older incarnation on the same VM. */
         JOIN,
-        /** The subject says itself that it has given up all it held. */
+        /** The subject leaves and states that it has given up everything it held. */
         LEAVE,
-        /** The author has not heard from the subject. */
+        /** The author removes the subject because it no longer hears from it. */
         REMOVE
     }
 
     /**
-     * Where a node listens.
+     * The address of a node.
      *
-     * @param host an IP number
-     * @param port of the link between nodes
-     * @param domain its failure domain
+     * @param host an IP address
+     * @param port port for the connections between nodes
+     * @param domain the node's failure domain
      */
     record NodeAddress(String host, int port, DomainId domain) {}
 
     /**
-     * One part of the whole control state as it was after a given offset, written again before retention drops what it
-     * was made from. Two nodes that write it at once write the same thing.
+     * One part of a snapshot of the control state at an offset. Snapshots are written before retention drops the
+     * records that the state was built from. Two nodes that write a snapshot of the same offset write the same content.
      *
      * @param snapshotId shared by all parts of one snapshot
-     * @param through every record up to this offset is in it, none after it
-     * @param part counts from 0
-     * @param parts how many parts there are
+     * @param through the snapshot includes every record up to this offset and none after it
+     * @param part index of this part, starting at 0
+     * @param parts number of parts
      * @param entries configuration entries
      * @param members members of the roster; in part 0 only
      */
@@ -71,73 +71,73 @@
             implements LogRecord {}
 
     /**
-     * A configuration key as it stands.
+     * The current entry of a configuration key.
      *
-     * @param key which
-     * @param version the offset of the change that won last
-     * @param body what it holds
+     * @param key the key
+     * @param version the offset of the last change that took effect
+     * @param body the body
      */
     record StateEntry(String key, long version, Body body) {}
 
     /**
-     * A member of the roster as it stands.
+     * A current member of the roster.
      *
-     * @param node which
+     * @param node the node
      * @param joined the offset of its join
      * @param address where it listens
      */
     record StateMember(NodeId node, long joined, NodeAddress address) {}
 
     /**
-     * Claims and outcomes that one node appended together.
+     * Claims, outcomes and abandonments that one node appended together.
      *
-     * @param claims in order; each counts as if it stood alone
+     * @param claims in order; each is applied as if it had been appended alone
      */
     record ClaimBatch(List<ClaimRecord> claims) implements LogRecord {}
 
-    /** Something said of one idempotency key. */
+    /** A record about one idempotency key. */
     sealed interface ClaimRecord {
         /** The key's {@code identity()}. */
         String key();
 
-        /** Unique to the claim; tells a node's own claim from another of the same key. */
+        /** Unique id of the claim; distinguishes a node's own claim from another claim of the same key. */
         String claimId();
 
         /**
-         * A node wants to run it. The first one of a key wins, unless the one before it was abandoned.
+         * A node claims the key. The first claim of a key wins, unless the previous winner was abandoned.
          *
          * @param key the key's {@code identity()}
-         * @param claimId unique to the claim
-         * @param issuedAt when the caller made the key
-         * @param claimer who
-         * @param bodyDigest of template and body, to tell a key used for something else
+         * @param claimId unique id of the claim
+         * @param issuedAt when the caller issued the key
+         * @param claimer the node
+         * @param bodyDigest digest of template and body, to detect a key that is reused for another request
          */
         record Claimed(String key, String claimId, Instant issuedAt, NodeId claimer, String bodyDigest)
                 implements ClaimRecord {}
 
         /**
-         * The winner has its outcome.
+         * The winner of the key records its outcome.
          *
          * @param key the key's {@code identity()}
-         * @param claimId unique to the claim
-         * @param code how it ended
+         * @param claimId unique id of the claim
+         * @param code the result code
          * @param run whether it took effect
-         * @param output the answer to repeat to a caller that asks again
+         * @param output the response to return to later requests with the key
          */
         record Settled(String key, String claimId, ResultCode code, RunState run, Payload output)
                 implements ClaimRecord {}
 
         /**
-         * The claimer has barred itself from ever sending under this claim, and never sent.
+         * The claimer never sent the request and will never send it under this claim.
          *
          * @param key the key's {@code identity()}
-         * @param claimId unique to the claim
+         * @param claimId unique id of the claim
          */
         record Abandoned(String key, String claimId) implements ClaimRecord {}
     }
 
     /**
-     * A record that this version of the program cannot read. It holds its place and says nothing.
+     * A record that this version of the program cannot read. It takes its offset and has no effect.
      *
      * @param size its length in bytes
      */
--- a/wagtaillug-core/src/main/java/org/wagtaillug/log/LogStream.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/log/LogStream.java
@@ -1,6 +1,6 @@
 package org.wagtaillug.log;
 
-/** The streams that the nodes keep. Offsets are per stream, start at 1 and rise by 1. */
+/** The streams that the nodes write. Offsets are per stream, start at 1 and increase by 1. */
 public enum LogStream {
     /** Configuration changes, the roster of nodes, and snapshots of both. */
     CONTROL("control"),
@@ -13,7 +13,7 @@
         this.text = text;
     }
 
-    /** The name on the log service. */
+    /** The name of the stream on the log service. */
     public String text() {
         return text;
     }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/log/package-info.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/log/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The records that nodes keep on the platform's log service. The log's order of records is the only agreement between
- * nodes: whatever must be the same everywhere is a fold over one of its streams.
+ * The records that nodes write to the platform's log service. The order of records on the log is the only agreement
+ * protocol between nodes: any state that must be the same at every node is derived by applying the records of a stream
+ * in order.
  */
 package org.wagtaillug.log;
--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/UngrantedUpstreams.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/BaselineUpstreams.java
@@ -13,14 +13,14 @@
 import org.wagtaillug.membership.Vm;
 import org.wagtaillug.routing.Upstreams;
 
-/** The upstreams as the baseline sees them: whatever is listed may be used, and nothing is remembered. */
-final class UngrantedUpstreams implements Upstreams {
-    private static final Duration START_WITHIN = Duration.ofSeconds(10);
+/** Upstreams for the baseline policy: every listed VM may be used, and no measurements are kept. */
+final class BaselineUpstreams implements Upstreams {
+    private static final Duration START_TIMEOUT = Duration.ofSeconds(10);
 
     private final VmDirectory directory;
     private final Map<VmId, Integer> inFlight = new HashMap<>();
 
-    UngrantedUpstreams(VmDirectory directory) {
+    BaselineUpstreams(VmDirectory directory) {
         this.directory = directory;
     }
 
@@ -47,12 +47,12 @@
 
     @Override
     public Instant startBefore(VmId upstream, Instant now) {
-        return now.plus(START_WITHIN);
+        return now.plus(START_TIMEOUT);
     }
 
     @Override
     public void progressed(VmId upstream, Duration sinceStart, Instant now) {
-        // The baseline does not look at progress.
+        // The baseline policy does not use progress.
     }
 
     @Override
@@ -62,7 +62,7 @@
 
     @Override
     public void want(PoolId pool, int attempts) {
-        // The baseline needs nobody's leave.
+        // The baseline policy needs no grants.
     }
 
     @Override
--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/ClaimedOnce.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/ClaimsOnceOnly.java
@@ -9,8 +9,8 @@
 import org.wagtaillug.result.ResultCode;
 import org.wagtaillug.result.RunState;
 
-/** Hands the dispatcher's questions about keys to the claims. */
-record ClaimedOnce(Claims claims) implements OnceOnly {
+/** Adapter from the dispatcher's {@link OnceOnly} to {@link Claims}. */
+record ClaimsOnceOnly(Claims claims) implements OnceOnly {
     @Override
     public void ask(
             RequestId request, IdempotencyKey key, String bodyDigest, Instant deadline, Instant now, Effects effects) {
--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/Decision.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/Decision.java
@@ -7,23 +7,23 @@
 import java.util.Map;
 
 /**
- * One decision as the log shows it.
+ * A decision, as it is written to the decision log.
  *
  * <pre>{@code
  * Decision.builder("route").field("request", id).alternative("ramdin-engine-2: no grant").build();
  * }</pre>
  *
  * @param kind a stable name, for example {@code route}, {@code hedge}, {@code refuse}, {@code grant}, {@code order}
- * @param fields what it was about, in order of writing
- * @param alternatives what was not chosen, each with its reason
+ * @param fields the fields, in the order in which they are written
+ * @param alternatives the rejected alternatives, each with its reason
  */
 public record Decision(String kind, Map<String, String> fields, List<String> alternatives) {
-    /** Starts a decision of a kind. */
+    /** Starts a builder for a decision of the given kind. */
     public static Builder builder(String kind) {
         return new Builder(kind);
     }
 
-    /** Collects the parts of a {@link Decision}. */
+    /** Builder for {@link Decision}. */
     public static final class Builder {
         private final String kind;
         private final Map<String, String> fields = new LinkedHashMap<>();
@@ -33,19 +33,17 @@
             this.kind = kind;
         }
 
-        /** Adds a field. */
         public Builder field(String name, Object value) {
             fields.put(name, String.valueOf(value));
             return this;
         }
 
-        /** Adds something that was not chosen. */
+        /** Adds a rejected alternative with its reason. */
         public Builder alternative(String text) {
             alternatives.add(text);
             return this;
         }
 
-        /** Builds the decision. */
         public Decision build() {
             return new Decision(kind, Collections.unmodifiableMap(fields), Collections.unmodifiableList(alternatives));
         }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/Effect.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/Effect.java
@@ -12,124 +12,124 @@
 import org.wagtaillug.result.Payload;
 import org.wagtaillug.result.Refusal;
 
-/** Something that the frame has to do. */
+/** An action that the driver of a {@link Node} has to execute. */
 public sealed interface Effect {
     /**
      * Sends an attempt, unless its {@code startBefore} has passed by then.
      *
-     * @param attempt what and where
+     * @param attempt the attempt and its target
      */
     record StartAttempt(Attempt attempt) implements Effect {}
 
     /**
-     * Gives up an attempt: close its connection. Its end is reported all the same.
+     * Cancels an attempt by closing its connection. The end of the attempt is still reported.
      *
-     * @param attempt which
+     * @param attempt the attempt
      */
     record CancelAttempt(AttemptId attempt) implements Effect {}
 
     /**
      * The final answer: the request was served.
      *
-     * @param request which
-     * @param templateVersion the offset of the template that it ran under
-     * @param output the last stage's output
+     * @param request the request
+     * @param templateVersion the offset of the template that it ran with
+     * @param output the output of the last stage
      */
     record AnswerServed(RequestId request, long templateVersion, Payload output) implements Effect {}
 
     /**
      * The final answer: the request was refused.
      *
-     * @param request which
-     * @param templateVersion the offset of the template that it would have run under; 0 if none was found
-     * @param refusal why, and what is known of it
+     * @param request the request
+     * @param templateVersion the offset of the template that it would have run with; 0 if none was found
+     * @param refusal the reason and what is known about the request
      */
     record AnswerRefused(RequestId request, long templateVersion, Refusal refusal) implements Effect {}
 
     /**
-     * Says something to another node. May be dropped when no connection stands.
+     * Sends a message to another node. May be dropped if there is no connection.
      *
      * @param receiver the VM of the node
-     * @param message what
+     * @param message the message
      */
     record SendToPeer(VmId receiver, PeerMessage message) implements Effect {}
 
     /**
-     * Tells the frame where the nodes listen, whenever that changes.
+     * Informs the driver of the addresses of the other nodes when they change.
      *
      * @param peers all other members of the roster
      */
     record PeersChanged(List<LogRecord.StateMember> peers) implements Effect {}
 
     /**
-     * Reads a stream from an offset, waiting a moment at the tail. There is at most one read a stream at a time.
+     * Reads a stream from an offset with a short wait at the tail. At most one read per stream is in flight.
      *
-     * @param stream which
-     * @param from the first offset wanted
+     * @param stream the stream
+     * @param from the first requested offset
      */
     record ReadLog(LogStream stream, long from) implements Effect {}
 
     /**
-     * Appends a record; sent once, never again by the frame itself.
+     * Appends a record. The driver sends it once and never retries it.
      *
-     * @param append the number by which the outcome is reported
-     * @param stream where
-     * @param record what
+     * @param append the number under which the result is reported
+     * @param stream the stream
+     * @param record the record
      */
     record AppendToLog(long append, LogStream stream, LogRecord record) implements Effect {}
 
-    /** Reads the platform's list of VMs. */
+    /** Reads the platform's VM list. */
     record ReadVmList() implements Effect {}
 
     /**
-     * Asks an upstream for its load.
+     * Requests an upstream's load.
      *
-     * @param upstream which
+     * @param upstream the upstream
      */
     record AskLoad(VmId upstream) implements Effect {}
 
     /**
      * Orders an engine to load or unload a model.
      *
-     * @param upstream which engine
+     * @param upstream the engine
      * @param load true to load, false to unload
-     * @param model which model
-     * @param version which version
-     * @param fencingNumber rises with each new issuer of the engine's orders
+     * @param model the model
+     * @param version the version of the model
+     * @param fencingNumber increases with each new issuer of orders for the engine
      */
     record SendOrder(VmId upstream, boolean load, ModelId model, int version, long fencingNumber) implements Effect {}
 
     /**
-     * An operator's change was accepted: it won its key.
+     * An operator's change was accepted and took effect.
      *
-     * @param changeId which
-     * @param offset its version
+     * @param changeId the id of the change
+     * @param offset the new version of its key
      */
     record ChangeAccepted(String changeId, long offset) implements Effect {}
 
     /**
      * An operator's change was not accepted.
      *
-     * @param changeId which
-     * @param refusal why
+     * @param changeId the id of the change
+     * @param refusal the reason
      */
     record ChangeRefused(String changeId, Refusal refusal) implements Effect {}
 
     /**
-     * Whether the balancer may send new requests here.
+     * The readiness of the node changed: whether the load balancer may send new requests to it.
      *
-     * @param ready the new state
-     * @param reason why
+     * @param ready the new readiness
+     * @param reason the reason
      */
     record ReadinessChanged(boolean ready, String reason) implements Effect {}
 
     /**
-     * One line for the log: a routing or placement decision.
+     * Writes a routing or placement decision to the log.
      *
-     * @param decision what was decided and why
+     * @param decision the decision
      */
     record LogDecision(Decision decision) implements Effect {}
 
-    /** All that was begun is finished: the process may end. */
+    /** All requests in progress have finished: the process may exit. */
     record DrainFinished() implements Effect {}
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/Effects.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/Effects.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Collects what the parts of a node want done in answer to one event, in order. */
+/** Collects the effects of one event, in order. */
 public final class Effects {
     private final List<Effect> collected = new ArrayList<>();
     private long lastAppend;
@@ -13,13 +13,13 @@
         collected.add(effect);
     }
 
-    /** A number for the next append; never given twice in a run. */
+    /** A number for the next append, unique within this process. */
     public long nextAppend() {
         lastAppend++;
         return lastAppend;
     }
 
-    /** All effects since the last call, in order. */
+    /** Returns and clears the effects since the last call, in order. */
     public List<Effect> drain() {
         List<Effect> effects = List.copyOf(collected);
         collected.clear();
--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/Event.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/Event.java
@@ -15,121 +15,121 @@
 import org.wagtaillug.membership.Vm;
 import org.wagtaillug.message.PeerMessage;
 
-/** Something that happened outside. */
+/** An input of a {@link Node}. */
 public sealed interface Event {
-    /** Time passed. A frame sends one at least every {@link Node#TICK}. */
+    /** The clock advanced. The driver sends this event at least every {@link Node#TICK}. */
     record Tick() implements Event {}
 
     /**
-     * A caller's request is here, whole.
+     * A request arrived from a caller, completely received.
      *
-     * @param request what it wants
+     * @param request the request
      */
     record RequestArrived(Request request) implements Event {}
 
     /**
-     * The caller has closed its connection and takes no answer.
+     * The caller closed its connection and no longer expects an answer.
      *
-     * @param request which
+     * @param request the request
      */
     record CallerLeft(RequestId request) implements Event {}
 
     /**
-     * An attempt made progress: the first token, or the head of the answer.
+     * An attempt made progress: the first token or the response header arrived.
      *
-     * @param attempt which
+     * @param attempt the attempt
      */
     record AttemptProgressed(AttemptId attempt) implements Event {}
 
     /**
-     * An attempt is over. Reported once for each {@link Effect.StartAttempt}, also after a cancel.
+     * An attempt ended. Reported once for each {@link Effect.StartAttempt}, also after a cancellation.
      *
-     * @param attempt which
-     * @param end how
+     * @param attempt the attempt
+     * @param end how it ended
      */
     record AttemptEnded(AttemptId attempt, AttemptEnd end) implements Event {}
 
     /**
-     * Another node said something.
+     * A message from another node arrived.
      *
-     * @param sender who
-     * @param message what
+     * @param sender the node that sent it
+     * @param message the message
      */
     record PeerMessageReceived(NodeId sender, PeerMessage message) implements Event {}
 
     /**
      * A read of the log was answered.
      *
-     * @param stream which stream
-     * @param askedAt the present time when the read was sent
-     * @param batch what it gave
+     * @param stream the stream
+     * @param askedAt the time when the read was sent
+     * @param batch the response
      */
     record LogRead(LogStream stream, Instant askedAt, LogBatch batch) implements Event {}
 
     /**
      * A read of the log failed.
      *
-     * @param stream which stream
+     * @param stream the stream
      */
     record LogReadFailed(LogStream stream) implements Event {}
 
     /**
-     * An append was answered.
+     * An append was acknowledged.
      *
-     * @param append the number that the effect gave it
-     * @param offset where the record stands
+     * @param append the number of the append, from its effect
+     * @param offset the offset of the record
      */
     record LogAppended(long append, long offset) implements Event {}
 
     /**
-     * An append failed or was not answered.
+     * An append failed or was not acknowledged.
      *
-     * @param append the number that the effect gave it
-     * @param mayTakeEffect whether the record may stand on the log now or later all the same
+     * @param append the number of the append, from its effect
+     * @param mayTakeEffect whether the record may be on the log already or reach it later
      */
     record LogAppendFailed(long append, boolean mayTakeEffect) implements Event {}
 
     /**
-     * The platform's list was read.
+     * The platform's VM list was read.
      *
-     * @param vms all that it shows
+     * @param vms all VMs on the list
      */
     record VmListRead(List<Vm> vms) implements Event {}
 
     /**
      * An upstream reported its load.
      *
-     * @param upstream which
-     * @param report what it said
+     * @param upstream the upstream
+     * @param report the load report
      */
     record LoadReported(VmId upstream, LoadReport report) implements Event {}
 
     /**
-     * An upstream was asked for its load and did not answer.
+     * An upstream did not answer a request for its load.
      *
-     * @param upstream which
+     * @param upstream the upstream
      */
     record LoadMissing(VmId upstream) implements Event {}
 
     /**
-     * An operator asks for a change.
+     * An operator submitted a change.
      *
-     * @param change what; its change id names the answer
+     * @param change the change; the answer refers to its change id
      */
     record ChangeSubmitted(LogRecord.Change change) implements Event {}
 
     /**
      * An order to an engine was answered or failed.
      *
-     * @param upstream which engine
-     * @param accepted whether it took the order
+     * @param upstream the engine
+     * @param accepted whether the engine accepted the order
      */
     record OrderEnded(VmId upstream, boolean accepted) implements Event {}
 
     /**
-     * The process was asked to end: finish what was begun and take nothing new.
+     * The process was asked to shut down: the node finishes the requests in progress and accepts no new ones.
      *
-     * @param askedAt when; a process that is asked while it starts hears of it when it has started
+     * @param askedAt when it was asked; if it was asked during startup, the event follows once the node has started
      */
     record DrainStarted(Instant askedAt) implements Event {}
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/GrantedUpstreams.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/GrantedUpstreams.java
@@ -14,10 +14,10 @@
 import org.wagtaillug.membership.Vm;
 import org.wagtaillug.routing.Upstreams;
 
-/** The upstreams as the current policy sees them: used only within allowances. */
+/** Upstreams for the current policy: used only within the limits of grants. */
 final class GrantedUpstreams implements Upstreams {
     private static final double STALL_QUANTILE = 0.99;
-    private static final Duration UNSEEN_TAIL = Duration.ofSeconds(2);
+    private static final Duration DEFAULT_FIRST_PROGRESS = Duration.ofSeconds(2);
 
     private final VmDirectory directory;
     private final GrantHolder holder;
@@ -125,7 +125,7 @@
                 .find(upstream)
                 .flatMap(Vm::pool)
                 .flatMap(pool -> firstProgress.quantile(pool, STALL_QUANTILE))
-                .orElse(UNSEEN_TAIL);
+                .orElse(DEFAULT_FIRST_PROGRESS);
         return UpstreamHealth.stalled(startedAt, Optional.of(lastProgress), Optional.of(tail), now);
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/Node.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/Node.java
@@ -33,21 +33,21 @@
 import org.wagtaillug.routing.Upstreams;
 
 /**
- * One node: every decision, driven by events. All of it is used from one thread.
+ * The decision logic of one node, driven by events. Not thread-safe: use it from one thread.
  *
  * <pre>{@code
  * List<Effect> effects = node.handle(new Event.RequestArrived(request), now);
  * }</pre>
  */
 public final class Node {
-    /** How often a frame sends {@link Event.Tick} at least. */
+    /** Maximum interval between two {@link Event.Tick} events from the driver. */
     public static final Duration TICK = Duration.ofMillis(50);
 
-    /** What looks at every upstream and decides nothing that is due within milliseconds runs no more often than this. */
-    private static final Duration SLOW_TICK = Duration.ofMillis(50);
+    /** Minimum interval for work that visits every upstream and decides nothing that is due within milliseconds. */
+    private static final Duration SLOW_TICK_INTERVAL = Duration.ofMillis(50);
 
-    private static final Duration VM_LIST_PERIOD = Duration.ofMillis(500);
-    private static final Duration COME_BACK = Duration.ofSeconds(1);
+    private static final Duration VM_LIST_INTERVAL = Duration.ofMillis(500);
+    private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
     private final Effects effects = new Effects();
     private final ControlState state;
@@ -64,10 +64,10 @@
 
     private Instant slowTickDue = Instant.EPOCH;
     private Instant vmListDue = Instant.EPOCH;
-    private Optional<Boolean> saidReady = Optional.empty();
-    private boolean finished;
+    private Optional<Boolean> reportedReady = Optional.empty();
+    private boolean drainFinishedReported;
 
-    /** A node that knows nothing yet. */
+    /** Creates a node without any state. */
     public Node(NodeSetup setup) {
         drain = new Drain(setup.shutdownGrace());
         state = new ControlState();
@@ -81,16 +81,15 @@
                 .retention(setup.retention())
                 .members(state::isMember)
                 .build();
-        Upstreams upstreams = setup.naive()
-                ? new UngrantedUpstreams(directory)
-                : new GrantedUpstreams(directory, grantHolder, health);
+        Upstreams upstreams =
+                setup.naive() ? new BaselineUpstreams(directory) : new GrantedUpstreams(directory, grantHolder, health);
         RoutingPolicy policy = setup.naive()
                 ? new RoundRobinPolicy(upstreams)
                 : new LeastCompletionPolicy(upstreams, setup.address().domain());
-        dispatcher = new Dispatcher(setup.limits(), state, upstreams, policy, new ClaimedOnce(claims), drain);
+        dispatcher = new Dispatcher(setup.limits(), state, upstreams, policy, new ClaimsOnceOnly(claims), drain);
     }
 
-    /** Takes in one event and gives what has to be done, in order. */
+    /** Handles one event and returns the effects to execute, in order. */
     public List<Effect> handle(Event event, Instant now) {
         switch (event) {
             case Event.Tick ignored -> onTick(now);
@@ -111,7 +110,7 @@
             case Event.DrainStarted started -> drain.start(started.askedAt());
         }
         deliverClaimResults(now);
-        tellReadiness(now);
+        reportReadiness(now);
         return effects.drain();
     }
 
@@ -122,16 +121,17 @@
         if (drain.outOfTime(now)) {
             claims.shutDown(now);
         }
-        // At its deadline a request that waits for a key is answered by the claims, which know whether another request
-        // with the key runs. The dispatcher, which does not, would say "not run" of a key that is being run.
+        // A request that waits for its key is answered at its deadline by the claims, which know whether another
+        // request with the key is running. The dispatcher does not know that and would report "not run" for a key that
+        // is being run.
         deliverClaimResults(now);
         dispatcher.onTick(now, effects);
         grantHolder.onTick(now, effects);
-        drain(now);
+        advanceDrain(now);
         if (now.isBefore(slowTickDue)) {
             return;
         }
-        slowTickDue = now.plus(SLOW_TICK);
+        slowTickDue = now.plus(SLOW_TICK_INTERVAL);
         readVmList(now);
         grantOwner.onTick(now, effects);
         placement.onTick(now, effects);
@@ -141,35 +141,35 @@
         if (now.isBefore(vmListDue)) {
             return;
         }
-        vmListDue = now.plus(VM_LIST_PERIOD);
+        vmListDue = now.plus(VM_LIST_INTERVAL);
         effects.add(new Effect.ReadVmList());
     }
 
     private void onRequest(Request request, Instant now) {
-        Optional<Refusal> closed = closed(now);
-        if (closed.isPresent()) {
-            effects.add(new Effect.AnswerRefused(request.id(), 0, closed.get()));
+        Optional<Refusal> admissionRefusal = admissionRefusal(now);
+        if (admissionRefusal.isPresent()) {
+            effects.add(new Effect.AnswerRefused(request.id(), 0, admissionRefusal.get()));
             return;
         }
         dispatcher.onRequest(request, now, effects);
     }
 
-    /** Why no request is taken at all; empty while they are. */
-    private Optional<Refusal> closed(Instant now) {
+    /** The reason why the node accepts no requests at all; empty while it accepts them. */
+    private Optional<Refusal> admissionRefusal(Instant now) {
         if (drain.refuses(now)) {
-            return closed(ResultCode.SHUTTING_DOWN, "the node is shutting down; ask another");
+            return refuse(ResultCode.SHUTTING_DOWN, "the node is shutting down; use another node");
         }
-        if (!controlLog.complete() || !directory.read()) {
-            return closed(ResultCode.NOT_READY, "the node does not hold the whole configuration yet");
+        if (!controlLog.complete() || !directory.isLoaded()) {
+            return refuse(ResultCode.NOT_READY, "the node has not read the complete configuration yet");
         }
         if (members.standing(now) == Standing.CUT_OFF) {
-            return closed(ResultCode.NODE_CUT_OFF, "the node cannot learn of changes; ask another");
+            return refuse(ResultCode.NODE_CUT_OFF, "the node is cut off from configuration changes; use another node");
         }
         return Optional.empty();
     }
 
-    private static Optional<Refusal> closed(ResultCode code, String message) {
-        return Optional.of(Refusal.notRun(code, COME_BACK, message));
+    private static Optional<Refusal> refuse(ResultCode code, String message) {
+        return Optional.of(Refusal.notRun(code, RETRY_AFTER, message));
     }
 
     private void onPeerMessage(Event.PeerMessageReceived received, Instant now) {
@@ -184,7 +184,7 @@
             case PeerMessage.StateAsk ask -> members.onPeerMessage(received.sender(), ask, now, effects);
             case PeerMessage.StateReply reply -> members.onPeerMessage(received.sender(), reply, now, effects);
             case ServingMessage ignored -> {
-                // Spoken between nodes that route by host and path; this node does not, and owes no answer.
+                // Sent between nodes that route by host and path. This node does not, and owes no answer.
             }
         }
     }
@@ -204,17 +204,17 @@
     }
 
     private void onAppended(Event.LogAppended appended, Instant now) {
-        boolean taken = controlLog.onAppended(appended.append(), appended.offset(), now, effects)
+        boolean handled = controlLog.onAppended(appended.append(), appended.offset(), now, effects)
                 || members.onAppended(appended.append(), appended.offset(), now, effects);
-        if (!taken) {
+        if (!handled) {
             claims.onAppended(appended.append(), appended.offset(), now, effects);
         }
     }
 
     private void onAppendFailed(Event.LogAppendFailed failed, Instant now) {
-        boolean taken = controlLog.onAppendFailed(failed.append(), failed.mayTakeEffect(), now, effects)
+        boolean handled = controlLog.onAppendFailed(failed.append(), failed.mayTakeEffect(), now, effects)
                 || members.onAppendFailed(failed.append(), failed.mayTakeEffect(), now, effects);
-        if (!taken) {
+        if (!handled) {
             claims.onAppendFailed(failed.append(), failed.mayTakeEffect(), now, effects);
         }
     }
@@ -245,62 +245,62 @@
         }
     }
 
-    private void tellReadiness(Instant now) {
-        boolean ready = closed(now).isEmpty() && !drain.started();
+    private void reportReadiness(Instant now) {
+        boolean ready = admissionRefusal(now).isEmpty() && !drain.started();
         members.ready(ready);
-        if (saidReady.isPresent() && saidReady.get() == ready) {
+        if (reportedReady.isPresent() && reportedReady.get() == ready) {
             return;
         }
-        saidReady = Optional.of(ready);
+        reportedReady = Optional.of(ready);
         String reason = drain.started() ? "draining" : members.standing(now).toString();
         effects.add(new Effect.ReadinessChanged(ready, reason));
     }
 
-    private void drain(Instant now) {
+    private void advanceDrain(Instant now) {
         boolean idle = dispatcher.idle() && claims.idle();
-        boolean departed = !state.isMember(members.self());
-        switch (drain.step(idle, departed, now)) {
+        boolean leftRoster = !state.isMember(members.self());
+        switch (drain.step(idle, leftRoster, now)) {
             case LEAVE -> members.leave(now, effects);
-            case FINISHED -> finish();
+            case FINISHED -> reportDrainFinished();
             case SERVING, LEAVING_BALANCER, FINISHING -> {
-                // Nothing to do but to go on.
+                // Nothing to do until the next step.
             }
         }
     }
 
-    private void finish() {
-        if (!finished) {
-            finished = true;
+    private void reportDrainFinished() {
+        if (!drainFinishedReported) {
+            drainFinishedReported = true;
             effects.add(new Effect.DrainFinished());
         }
     }
 
-    /** The control state in force here. */
+    /** The control state of this node. */
     public ControlState state() {
         return state;
     }
 
-    /** Who else there is, and how far each has read. */
+    /** The other members of the roster and how far each has read the control stream. */
     public Members members() {
         return members;
     }
 
-    /** The upstreams that the platform lists. */
+    /** The upstreams on the platform's VM list. */
     public List<Vm> upstreams() {
         return directory.upstreams();
     }
 
-    /** One upstream that the platform lists. */
+    /** An upstream on the platform's VM list. */
     public Optional<Vm> upstream(VmId id) {
         return directory.find(id);
     }
 
-    /** The newest load report of an upstream that this node knows. */
+    /** The latest load report of an upstream that this node has. */
     public Optional<LoadReport> report(VmId id) {
         return grantHolder.report(id);
     }
 
-    /** How the grants of the upstreams stand. */
+    /** The grants of the upstreams. */
     public List<GrantView> grants(Instant now) {
         return grantHolder.view(now);
     }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/NodeSetup.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/NodeSetup.java
@@ -9,19 +9,19 @@
 import org.wagtaillug.membership.Members;
 
 /**
- * What a node has to be told about itself.
+ * The settings of a node.
  *
  * <pre>{@code
  * NodeSetup setup = NodeSetup.builder(id, address).seed(other).build();
  * }</pre>
  *
- * @param self this run of the node
+ * @param self the id of this incarnation of the node
  * @param address where it listens for other nodes, and its failure domain
- * @param seeds other nodes to ask until the roster is known
- * @param limits what it lets itself do; default {@link DispatchLimits#DEFAULTS}
- * @param retention how long the log keeps records; default 1 h
+ * @param seeds nodes to contact until the roster is known
+ * @param limits limits of the dispatcher; default {@link DispatchLimits#DEFAULTS}
+ * @param retention the log's retention; default 1 h
  * @param naive whether to route by the baseline policy; default false
- * @param shutdownGrace how long after the word to end the process is killed; default 30 s
+ * @param shutdownGrace time between the shutdown signal and the kill of the process; default 30 s
  */
 public record NodeSetup(
         NodeId self,
@@ -31,12 +31,12 @@
         Duration retention,
         boolean naive,
         Duration shutdownGrace) {
-    /** Starts with the defaults above. */
+    /** Starts a builder with the defaults stated above. */
     public static Builder builder(NodeId self, NodeAddress address) {
         return new Builder(self, address);
     }
 
-    /** Collects the parts of a {@link NodeSetup}. */
+    /** Builder for {@link NodeSetup}. */
     public static final class Builder {
         private final NodeId self;
         private final NodeAddress address;
@@ -51,19 +51,19 @@
             this.address = address;
         }
 
-        /** Adds a node to ask. */
+        /** Adds a seed node. */
         public Builder seed(Members.Seed seed) {
             seeds.add(seed);
             return this;
         }
 
-        /** Sets the limits. */
+        /** Sets the limits of the dispatcher. */
         public Builder limits(DispatchLimits value) {
             this.limits = value;
             return this;
         }
 
-        /** Sets how long the log keeps records. */
+        /** Sets the log's retention. */
         public Builder retention(Duration value) {
             this.retention = value;
             return this;
@@ -75,13 +75,12 @@
             return this;
         }
 
-        /** Sets how long after the word to end the process is killed. */
+        /** Sets the time between the shutdown signal and the kill of the process. */
         public Builder shutdownGrace(Duration value) {
             this.shutdownGrace = value;
             return this;
         }
 
-        /** Builds the setup. */
         public NodeSetup build() {
             return new NodeSetup(self, address, List.copyOf(seeds), limits, retention, naive, shutdownGrace);
         }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/VmDirectory.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/VmDirectory.java
@@ -11,14 +11,14 @@
 import org.wagtaillug.id.VmId;
 import org.wagtaillug.membership.Vm;
 
-/** The platform's list as last read, by pool. */
+/** The platform's VM list as last read, indexed by id and by pool. */
 final class VmDirectory {
     private final Configuration configuration;
     private final Map<VmId, Vm> byId = new LinkedHashMap<>();
     private final Map<PoolId, List<Vm>> byPool = new HashMap<>();
-    private final Map<PoolId, List<Vm>> inService = new HashMap<>();
-    private long judgedThrough = -1;
-    private boolean read;
+    private final Map<PoolId, List<Vm>> inServiceByPool = new HashMap<>();
+    private long cachedThrough = -1;
+    private boolean loaded;
 
     VmDirectory(Configuration configuration) {
         this.configuration = configuration;
@@ -27,8 +27,8 @@
     void replace(List<Vm> vms) {
         byId.clear();
         byPool.clear();
-        inService.clear();
-        read = true;
+        inServiceByPool.clear();
+        loaded = true;
         for (Vm vm : vms) {
             byId.put(vm.id(), vm);
             vm.pool().ifPresent(pool -> byPool.computeIfAbsent(pool, ignored -> new ArrayList<>())
@@ -36,9 +36,9 @@
         }
     }
 
-    /** Whether the list was read at all. */
-    boolean read() {
-        return read;
+    /** Whether the list has been read at least once. */
+    boolean isLoaded() {
+        return loaded;
     }
 
     Optional<Vm> find(VmId id) {
@@ -51,23 +51,23 @@
         return upstreams;
     }
 
-    /** The upstreams of a pool that may take new work; judged anew when the list or the configuration changes. */
+    /** The upstreams of a pool that may take new work. Cached until the list or the configuration changes. */
     List<Vm> inPool(PoolId pool) {
-        if (judgedThrough != configuration.through()) {
-            inService.clear();
-            judgedThrough = configuration.through();
+        if (cachedThrough != configuration.through()) {
+            inServiceByPool.clear();
+            cachedThrough = configuration.through();
         }
-        return inService.computeIfAbsent(pool, this::judge);
+        return inServiceByPool.computeIfAbsent(pool, this::filterInService);
     }
 
-    private List<Vm> judge(PoolId pool) {
-        List<Vm> usable = new ArrayList<>();
+    private List<Vm> filterInService(PoolId pool) {
+        List<Vm> accepting = new ArrayList<>();
         for (Vm vm : byPool.getOrDefault(pool, List.of())) {
             if (mayTakeWork(vm)) {
-                usable.add(vm);
+                accepting.add(vm);
             }
         }
-        return List.copyOf(usable);
+        return List.copyOf(accepting);
     }
 
     boolean mayTakeWork(Vm vm) {
--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/package-info.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A whole node without its sockets: events and the present time go in, effects come out. Any frame that carries out the
- * effects and reports what came of them can drive it, over real connections or one event at a time.
+ * A complete node without I/O: events and the current time go in, effects come out. Any driver that executes the
+ * effects and reports their results can run it, over real connections or one event at a time in a test.
  */
 package org.wagtaillug.node;
--- a/wagtaillug-core/src/test/java/org/wagtaillug/configuration/OperatorRaceGoldenTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/configuration/OperatorRaceGoldenTest.java
@@ -43,37 +43,37 @@
 
         void tick() {
             log.onTick(now(), effects);
-            record("tick");
+            recordStep("tick");
         }
 
         void submit(Change change) {
             log.submit(change, now(), effects);
-            record(change.operator() + " submits " + change.changeId() + " from version " + change.base() + ": "
+            recordStep(change.operator() + " submits " + change.changeId() + " from version " + change.base() + ": "
                     + change.body());
         }
 
         void read() {
             LogBatch batch = stream.read(log.state().through() + 1, 100);
             log.onLogRead(now(), batch, now(), effects);
-            record("reads " + batch.entries().size() + " records from " + batch.from());
+            recordStep("reads " + batch.entries().size() + " records from " + batch.from());
         }
 
         void readFailed() {
             log.onLogReadFailed(now(), effects);
-            record("read failed");
+            recordStep("read failed");
         }
 
         void appended(String changeId, long offset) {
             boolean own = log.onAppended(appends.get(changeId), offset, now(), effects);
-            record("append of " + changeId + " answered: " + offset + ", own " + own);
+            recordStep("append of " + changeId + " answered: " + offset + ", own " + own);
         }
 
         void appendFailed(String changeId, boolean mayTakeEffect) {
             boolean own = log.onAppendFailed(appends.get(changeId), mayTakeEffect, now(), effects);
-            record("append of " + changeId + " failed, may take effect " + mayTakeEffect + ", own " + own);
+            recordStep("append of " + changeId + " failed, may take effect " + mayTakeEffect + ", own " + own);
         }
 
-        private void record(String event) {
+        private void recordStep(String event) {
             transcript.append(String.format("%6d %s < %s%n", timeMillis, name, event));
             for (Effect effect : effects.drain()) {
                 if (effect instanceof Effect.AppendToLog append && append.record() instanceof Change change) {
--- a/wagtaillug-core/src/test/java/org/wagtaillug/node/NodeWorld.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/node/NodeHarness.java
@@ -37,35 +37,35 @@
 import org.wagtaillug.result.Refusal;
 
 /**
- * One node by the baseline policy, with a log and upstreams in memory; what it asks for happens at the next step. The
- * template {@code draft} has two stages, {@code booking} must run once.
+ * Drives one node with the baseline policy against an in-memory log and in-memory upstreams; the results of its effects
+ * are delivered at the next step. The template {@code draft} has two stages, {@code booking} must run once.
  */
-final class NodeWorld {
+final class NodeHarness {
     static final Instant START = Instant.parse("2026-12-01T08:00:00Z");
     static final String DRAFT = "draft";
     static final String BOOKING = "booking";
 
     private static final Duration STEP = Duration.ofMillis(10);
     private static final CustomerId CUSTOMER = new CustomerId("office");
-    private static final Duration READY_WITHIN = Duration.ofSeconds(5);
+    private static final Duration READY_TIMEOUT = Duration.ofSeconds(5);
 
     final Map<RequestId, Effect> answers = new HashMap<>();
     final Map<RequestId, Integer> timesAnswered = new HashMap<>();
     final Map<AttemptId, Attempt> running = new LinkedHashMap<>();
     final List<AttemptId> started = new ArrayList<>();
     final Map<LogStream, List<LogBatch.Entry>> log = new HashMap<>();
-    /** Whether appends to the claims reach the log but cannot be read yet. */
+    /** Whether appends to the claims stream are accepted but cannot be read yet. */
     boolean claimsHidden;
 
     Optional<Instant> finishedAt = Optional.empty();
     Instant now = START;
 
     private final Node node;
-    private final Queue<Event> due = new ArrayDeque<>();
+    private final Queue<Event> pendingEvents = new ArrayDeque<>();
     private boolean ready;
 
-    /** Starts a node and lets it become ready. */
-    NodeWorld(Duration grace) {
+    /** Starts a node and waits until it is ready. */
+    NodeHarness(Duration grace) {
         NodeId self = new NodeId(new VmId("entry-1"), 1);
         LogRecord.NodeAddress address = new LogRecord.NodeAddress("127.0.0.1", 7000, new DomainId("a"));
         node = new Node(NodeSetup.builder(self, address)
@@ -90,12 +90,12 @@
                         .build())
                 .build());
         publish(new CustomerContract(CUSTOMER, 1, Map.of()));
-        Instant latest = now.plus(READY_WITHIN);
-        while (!ready && now.isBefore(latest)) {
-            pass(STEP);
+        Instant readyDeadline = now.plus(READY_TIMEOUT);
+        while (!ready && now.isBefore(readyDeadline)) {
+            advance(STEP);
         }
         if (!ready) {
-            throw new IllegalStateException("the node is not ready after " + READY_WITHIN);
+            throw new IllegalStateException("the node is not ready after " + READY_TIMEOUT);
         }
     }
 
@@ -109,23 +109,23 @@
         return entries.size();
     }
 
-    void pass(Duration length) {
+    void advance(Duration length) {
         Instant end = now.plus(length);
         while (now.isBefore(end)) {
             now = now.plus(STEP);
-            for (int open = due.size(); open > 0; open--) {
-                hand(due.remove());
+            for (int remaining = pendingEvents.size(); remaining > 0; remaining--) {
+                deliver(pendingEvents.remove());
             }
-            hand(new Event.Tick());
+            deliver(new Event.Tick());
         }
     }
 
-    /** Asks the node to end. */
-    void signal() {
-        hand(new Event.DrainStarted(now));
+    /** Asks the node to shut down. */
+    void signalShutdown() {
+        deliver(new Event.DrainStarted(now));
     }
 
-    RequestId arrive(String id, String template, Duration untilDeadline) {
+    RequestId submit(String id, String template, Duration untilDeadline) {
         RequestId request = new RequestId(id);
         Request.Builder builder = Request.builder(request, CUSTOMER, new TemplateId(template))
                 .deadline(now.plus(untilDeadline))
@@ -133,21 +133,21 @@
         if (template.equals(BOOKING)) {
             builder.key(new IdempotencyKey(CUSTOMER, "key-of-" + id, now));
         }
-        hand(new Event.RequestArrived(builder.build()));
+        deliver(new Event.RequestArrived(builder.build()));
         return request;
     }
 
     void end(AttemptId attempt, AttemptEnd end) {
         running.remove(attempt);
-        hand(new Event.AttemptEnded(attempt, end));
+        deliver(new Event.AttemptEnded(attempt, end));
     }
 
-    /** Completes the one attempt that runs. */
+    /** Completes the oldest running attempt. */
     void complete() {
         end(running.keySet().iterator().next(), new AttemptEnd.Completed(Payload.of("1")));
     }
 
-    /** The refusal that a request got; fails if it has no answer or was served. */
+    /** Returns the refusal of a request; fails if the request has no answer or was served. */
     Refusal refusal(RequestId request) {
         if (answers.get(request) instanceof Effect.AnswerRefused refused) {
             return refused.refusal();
@@ -159,49 +159,50 @@
         return answers.get(request) instanceof Effect.AnswerServed;
     }
 
-    /** Whether the claims stream holds a record of a kind. */
-    boolean recorded(Class<? extends LogRecord.ClaimRecord> kind) {
+    /** Whether the claims stream contains a record of the given type. */
+    boolean hasClaimRecord(Class<? extends LogRecord.ClaimRecord> type) {
         for (LogBatch.Entry entry : log.get(LogStream.CLAIMS)) {
             if (entry.record() instanceof LogRecord.ClaimBatch batch
-                    && batch.claims().stream().anyMatch(kind::isInstance)) {
+                    && batch.claims().stream().anyMatch(type::isInstance)) {
                 return true;
             }
         }
         return false;
     }
 
-    private void hand(Event event) {
+    private void deliver(Event event) {
         for (Effect effect : node.handle(event, now)) {
-            carryOut(effect);
+            execute(effect);
         }
     }
 
-    private void carryOut(Effect effect) {
+    private void execute(Effect effect) {
         switch (effect) {
-            case Effect.ReadLog read -> due.add(new Event.LogRead(read.stream(), now, batch(read)));
+            case Effect.ReadLog read -> pendingEvents.add(new Event.LogRead(read.stream(), now, batch(read)));
             case Effect.AppendToLog append ->
-                due.add(new Event.LogAppended(append.append(), append(append.stream(), append.record())));
+                pendingEvents.add(new Event.LogAppended(append.append(), append(append.stream(), append.record())));
             case Effect.ReadVmList ignored ->
-                due.add(new Event.VmListRead(List.of(upstream("encode"), upstream("rerank"), upstream("book"))));
+                pendingEvents.add(
+                        new Event.VmListRead(List.of(upstream("encode"), upstream("rerank"), upstream("book"))));
             case Effect.StartAttempt start -> {
                 started.add(start.attempt().id());
                 running.put(start.attempt().id(), start.attempt());
             }
             case Effect.CancelAttempt cancel -> {
                 running.remove(cancel.attempt());
-                due.add(new Event.AttemptEnded(cancel.attempt(), new AttemptEnd.Failed(true, "cancelled")));
+                pendingEvents.add(new Event.AttemptEnded(cancel.attempt(), new AttemptEnd.Failed(true, "cancelled")));
             }
-            case Effect.AnswerServed served -> answered(served.request(), served);
-            case Effect.AnswerRefused refused -> answered(refused.request(), refused);
+            case Effect.AnswerServed served -> recordAnswer(served.request(), served);
+            case Effect.AnswerRefused refused -> recordAnswer(refused.request(), refused);
             case Effect.ReadinessChanged changed -> ready = changed.ready();
             case Effect.DrainFinished ignored -> finishedAt = Optional.of(now);
             default -> {
-                // Nothing else is looked at here.
+                // Other effects are ignored.
             }
         }
     }
 
-    private void answered(RequestId request, Effect answer) {
+    private void recordAnswer(RequestId request, Effect answer) {
         answers.put(request, answer);
         timesAnswered.merge(request, 1, Integer::sum);
     }
