--- a/wagtaillug-benchmarks/src/main/java/org/wagtaillug/benchmarks/ControlBenchmark.java
+++ b/wagtaillug-benchmarks/src/main/java/org/wagtaillug/benchmarks/ControlBenchmark.java
@@ -57,7 +57,7 @@
 
     private void fold(LogRecord record) {
         offset = state.through() + 1;
-        state.fold(new LogBatch.Entry(offset, Instant.EPOCH, record));
+        state.apply(new LogBatch.Entry(offset, Instant.EPOCH, record));
     }
 
     /** Decodes a change that wins and folds it in. */
--- a/wagtaillug-core/src/main/java/org/wagtaillug/configuration/ControlLog.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/configuration/ControlLog.java
@@ -264,7 +264,7 @@
 
     private void fold(LogBatch.Entry entry, Instant now) {
         long before = state.rosterOffset();
-        state.fold(entry);
+        state.apply(entry);
         if (state.rosterOffset() != before) {
             listener.ifPresent(target -> target.rosterChanged(entry.offset(), now));
         }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/configuration/ControlState.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/configuration/ControlState.java
@@ -56,7 +56,7 @@
      *
      * @throws IllegalStateException if a record in between was not applied
      */
-    public void fold(LogBatch.Entry entry) {
+    public void apply(LogBatch.Entry entry) {
         long offset = entry.offset();
         if (offset <= through) {
             return;
--- a/wagtaillug-core/src/test/java/org/wagtaillug/configuration/ControlLogTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/configuration/ControlLogTest.java
@@ -148,14 +148,14 @@
         stream.append(change("c", 0, true), now);
         stream.append(change("d", 1, false), now);
         stream.append(change("e", 1, true), now);
-        peer.fold(stream.all().get(0));
+        peer.apply(stream.all().get(0));
         assertThat(log.onStateReply(new PeerMessage.StateReply(1, peer.entries(), List.of()), now, effects))
                 .isTrue();
         assertThat(effects.drain()).contains(new Effect.ChangeAccepted("c", 1));
         log.onAppended(submit(change("e", 1, true)), 3, now, effects);
         log.onAppended(submit(change("d", 1, false)), 2, now, effects);
-        peer.fold(stream.all().get(1));
-        peer.fold(stream.all().get(2));
+        peer.apply(stream.all().get(1));
+        peer.apply(stream.all().get(2));
         log.onStateReply(new PeerMessage.StateReply(3, peer.entries(), List.of()), now, effects);
         List<Effect> emitted = effects.drain();
         assertThat(emitted).contains(new Effect.ChangeAccepted("d", 2));
@@ -227,7 +227,7 @@
             stream.append(change("c" + count, count, true), now);
         }
         ControlState early = new ControlState();
-        early.fold(stream.all().get(0));
+        early.apply(stream.all().get(0));
         LogRecord part = new SnapshotPart("s", 1, 0, 1, early.entries(), List.of());
         stream.append(part, now);
         stream.dropBefore(2);
--- a/wagtaillug-core/src/test/java/org/wagtaillug/configuration/ControlStateTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/configuration/ControlStateTest.java
@@ -44,7 +44,7 @@
         ControlState state = new ControlState();
         for (int count = 1; count <= entries.size(); count++) {
             LogBatch.Entry entry = entries.get(count - 1);
-            state.fold(entry);
+            state.apply(entry);
             List<LogBatch.Entry> read = entries.subList(0, count);
             assertThat(state.entries()).isEqualTo(NaiveControlState.entries(read));
             assertThat(state.members()).isEqualTo(NaiveControlState.members(read));
@@ -76,26 +76,26 @@
 
     static ControlState stateOf(FakeLog log) {
         ControlState state = new ControlState();
-        log.all().forEach(state::fold);
+        log.all().forEach(state::apply);
         return state;
     }
 
     @Test
     void reportsBothOffsetsWhenARecordIsMissing() {
         ControlState state = new ControlState();
-        state.fold(change(1, 0, Samples.service(true)));
-        assertThatThrownBy(() -> state.fold(change(3, 1, Samples.service(false))))
+        state.apply(change(1, 0, Samples.service(true)));
+        assertThatThrownBy(() -> state.apply(change(3, 1, Samples.service(false))))
                 .isInstanceOf(IllegalStateException.class)
                 .hasMessageContaining("record 3 does not follow record 1");
-        state.fold(change(1, 0, Samples.service(false)));
+        state.apply(change(1, 0, Samples.service(false)));
         assertThat(state.through()).isEqualTo(1);
     }
 
     @Test
     void rejectsAStateThatIsNotNewerOrIsMalformed() {
         ControlState state = new ControlState();
-        state.fold(change(1, 0, Samples.service(true)));
-        state.fold(change(2, 1, Samples.service(false)));
+        state.apply(change(1, 0, Samples.service(true)));
+        state.apply(change(2, 1, Samples.service(false)));
         StateEntry old = new StateEntry(Body.domainKey(Samples.DOMAIN), 1, Samples.service(true));
         assertThat(state.adopt(1, List.of(old), List.of())).isFalse();
         assertThat(state.adopt(2, List.of(old), List.of())).isFalse();
@@ -108,7 +108,7 @@
     @Test
     void aBodyThatAPeerCannotReadIsKept() {
         ControlState state = new ControlState();
-        state.fold(change(1, 0, Samples.service(true)));
+        state.apply(change(1, 0, Samples.service(true)));
         StateEntry unread = new StateEntry(Body.domainKey(Samples.DOMAIN), 1, new Body.Unknown("domain", "{}"));
         assertThat(state.adopt(2, List.of(unread), List.of())).isTrue();
         assertThat(state.inService(Samples.upstream("engine-1", "pl-a"))).isFalse();
@@ -134,7 +134,7 @@
         long offset = 0;
         for (Body body : bodies) {
             offset++;
-            state.fold(change(offset, 0, body));
+            state.apply(change(offset, 0, body));
         }
         assertThat(state.template(template.id()).get().version()).isEqualTo(1);
         assertThat(state.template(new TemplateId("other"))).isEmpty();
--- a/wagtaillug-core/src/test/java/org/wagtaillug/membership/MembersTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/membership/MembersTest.java
@@ -391,7 +391,7 @@
         stream.append(Samples.change("anita", "c", 0, Samples.service(true)), now);
         roster(3);
         ControlState sound = new ControlState();
-        stream.all().forEach(sound::fold);
+        stream.all().forEach(sound::apply);
         state.repair(1, state.through(), List.of(), List.of());
         assertThat(state.entries()).as("a wrong digest is not taken").isNotEmpty();
         corrupt();
