--- a/wagtaillug-core/src/main/java/org/wagtaillug/configuration/ControlState.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/configuration/ControlState.java
@@ -38,7 +38,7 @@
  * uses only keys and versions, so that a program that cannot read a body still agrees on which changes took effect.
  */
 public final class ControlState implements Configuration {
-    /** The number of newest changes whose outcome {@link #changeOutcome} and {@link #won} know. */
+    /** The number of newest changes whose outcome {@link #changeOutcome} and {@link #wasApplied} know. */
     static final int MAX_RETAINED_OUTCOMES = 512;
 
     private final Map<String, StateEntry> entries = new TreeMap<>();
@@ -313,7 +313,7 @@
     }
 
     /** Whether the record at an offset is one of the newest changes and took effect. */
-    public boolean won(long offset) {
+    public boolean wasApplied(long offset) {
         ChangeOutcome outcome = outcomesByOffset.get(offset);
         return outcome != null && outcome.applied();
     }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/configuration/ControlStateTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/configuration/ControlStateTest.java
@@ -50,7 +50,7 @@
             assertThat(state.members()).isEqualTo(NaiveControlState.members(read));
             if (entry.record() instanceof Change change) {
                 boolean applied = NaiveControlState.versions(read, change.key()).getLast() == count;
-                assertThat(state.won(count)).isEqualTo(applied);
+                assertThat(state.wasApplied(count)).isEqualTo(applied);
             }
         }
     }
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/administration/Views.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/administration/Views.java
@@ -92,7 +92,7 @@
             }
         }
         view.put("version", version);
-        view.put("won", node.state().won(version));
+        view.put("won", node.state().wasApplied(version));
         view.put("in_force", waiting.isEmpty());
         view.set("waiting_for", waiting);
         return view;
