--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/Node.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/Node.java
@@ -82,8 +82,8 @@
                 .members(state::isMember)
                 .build();
         Upstreams upstreams =
-                setup.naive() ? new BaselineUpstreams(directory) : new GrantedUpstreams(directory, grantHolder, health);
-        RoutingPolicy policy = setup.naive()
+                setup.baselinePolicy() ? new BaselineUpstreams(directory) : new GrantedUpstreams(directory, grantHolder, health);
+        RoutingPolicy policy = setup.baselinePolicy()
                 ? new RoundRobinPolicy(upstreams)
                 : new LeastCompletionPolicy(upstreams, setup.address().domain());
         dispatcher = new Dispatcher(setup.limits(), state, upstreams, policy, new ClaimsOnceOnly(claims), drain);
--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/NodeSetup.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/NodeSetup.java
@@ -20,7 +20,7 @@
  * @param seeds nodes to contact until the roster is known
  * @param limits limits of the dispatcher; default {@link DispatchLimits#DEFAULTS}
  * @param retention the log's retention; default 1 h
- * @param naive whether to route by the baseline policy; default false
+ * @param baselinePolicy whether to route by the baseline policy; default false
  * @param shutdownGrace time between the shutdown signal and the kill of the process; default 30 s
  */
 public record NodeSetup(
@@ -29,7 +29,7 @@
         List<Members.Seed> seeds,
         DispatchLimits limits,
         Duration retention,
-        boolean naive,
+        boolean baselinePolicy,
         Duration shutdownGrace) {
     /** Starts a builder with the defaults stated above. */
     public static Builder builder(NodeId self, NodeAddress address) {
@@ -43,7 +43,7 @@
         private final List<Members.Seed> seeds = new ArrayList<>();
         private DispatchLimits limits = DispatchLimits.DEFAULTS;
         private Duration retention = Duration.ofHours(1);
-        private boolean naive;
+        private boolean baselinePolicy;
         private Duration shutdownGrace = Duration.ofSeconds(30);
 
         private Builder(NodeId self, NodeAddress address) {
@@ -70,8 +70,8 @@
         }
 
         /** Sets whether to route by the baseline policy. */
-        public Builder naive(boolean value) {
-            this.naive = value;
+        public Builder baselinePolicy(boolean value) {
+            this.baselinePolicy = value;
             return this;
         }
 
@@ -82,7 +82,7 @@
         }
 
         public NodeSetup build() {
-            return new NodeSetup(self, address, List.copyOf(seeds), limits, retention, naive, shutdownGrace);
+            return new NodeSetup(self, address, List.copyOf(seeds), limits, retention, baselinePolicy, shutdownGrace);
         }
     }
 }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/node/NodeHarness.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/node/NodeHarness.java
@@ -69,7 +69,7 @@
         NodeId self = new NodeId(new VmId("entry-1"), 1);
         LogRecord.NodeAddress address = new LogRecord.NodeAddress("127.0.0.1", 7000, new DomainId("a"));
         node = new Node(NodeSetup.builder(self, address)
-                .naive(true)
+                .baselinePolicy(true)
                 .shutdownGrace(grace)
                 .build());
         log.put(LogStream.CONTROL, new ArrayList<>());
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/Daemon.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/Daemon.java
@@ -90,7 +90,7 @@
         NodeSetup.Builder builder = NodeSetup.builder(self, address)
                 .limits(new DispatchLimits(limits.requestsInFlight(), limits.retryBudget(), limits.hedgeBudget()))
                 .retention(settings.platform().retention())
-                .naive(settings.policy() == NodeSettings.Policy.NAIVE)
+                .baselinePolicy(settings.policy() == NodeSettings.Policy.NAIVE)
                 .shutdownGrace(settings.shutdownGrace());
         for (NodeSettings.Seed seed : settings.seeds()) {
             builder.seed(new Members.Seed(seed.vm(), address(seed)));
