--- a/wagtaillug-core/src/main/java/org/wagtaillug/configuration/ControlLog.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/configuration/ControlLog.java
@@ -141,7 +141,7 @@
     }
 
     /** Ends the delay before the next read, for example because a peer has read more. */
-    public void readSoon(Instant now) {
+    public void readWithoutDelay(Instant now) {
         nextReadAt = Optional.of(now);
     }
 
--- a/wagtaillug-core/src/main/java/org/wagtaillug/membership/StateRepair.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/membership/StateRepair.java
@@ -59,7 +59,7 @@
         }
         if (behindSince.isEmpty()) {
             behindSince = Optional.of(now);
-            log.readSoon(now);
+            log.readWithoutDelay(now);
         }
         highest = Math.max(highest, position.through());
         if (ahead.isEmpty() || ahead.get().through() < position.through()) {
