--- a/wagtaillug-core/src/main/java/org/wagtaillug/configuration/ControlLog.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/configuration/ControlLog.java
@@ -55,7 +55,7 @@
     private Optional<Instant> nextReadAt = Optional.empty();
     private Duration retryDelay = INITIAL_RETRY_DELAY;
     private boolean lastReadSucceeded;
-    private Optional<Instant> tailAskedAt = Optional.empty();
+    private Optional<Instant> tailReadSentAt = Optional.empty();
     private boolean complete;
 
     private long oldestRetained;
@@ -129,8 +129,8 @@
      * When the newest read that reached the tail was sent. All records that were on the stream at that time have been
      * applied here.
      */
-    public Optional<Instant> tailAskedAt() {
-        return tailAskedAt;
+    public Optional<Instant> tailReadSentAt() {
+        return tailReadSentAt;
     }
 
     /** Whether the last read was answered and no read has been pending for longer than usual. */
@@ -152,7 +152,7 @@
             onLogReadFailed(now, effects);
         }
         readIfIdle(now, effects);
-        pending.onTick(tailAskedAt, now, effects);
+        pending.onTick(tailReadSentAt, now, effects);
         if (complete && logReachable(now)) {
             snapshotWriter.onTick(now, effects);
         }
@@ -293,8 +293,8 @@
             return;
         }
         complete = true;
-        if (tailAskedAt.isEmpty() || tailAskedAt.get().isBefore(askedAt)) {
-            tailAskedAt = Optional.of(askedAt);
+        if (tailReadSentAt.isEmpty() || tailReadSentAt.get().isBefore(askedAt)) {
+            tailReadSentAt = Optional.of(askedAt);
         }
     }
 
--- a/wagtaillug-core/src/main/java/org/wagtaillug/configuration/PendingChanges.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/configuration/PendingChanges.java
@@ -204,9 +204,9 @@
     /**
      * Answers the changes whose record never appeared.
      *
-     * @param tailAskedAt when the newest read that reached the tail was sent
+     * @param tailReadSentAt when the newest read that reached the tail was sent
      */
-    void onTick(Optional<Instant> tailAskedAt, Instant now, Effects effects) {
+    void onTick(Optional<Instant> tailReadSentAt, Instant now, Effects effects) {
         Iterator<PendingChange> iterator = pending.values().iterator();
         while (iterator.hasNext()) {
             PendingChange waiting = iterator.next();
@@ -215,7 +215,7 @@
                     && !now.isBefore(waiting.submittedAt.plus(APPEND_TIMEOUT))) {
                 waiting.uncertainSince = Optional.of(now);
             }
-            if (!isLost(waiting, tailAskedAt, now)) {
+            if (!isLost(waiting, tailReadSentAt, now)) {
                 continue;
             }
             iterator.remove();
@@ -227,16 +227,16 @@
         }
     }
 
-    private static boolean isLost(PendingChange waiting, Optional<Instant> tailAskedAt, Instant now) {
+    private static boolean isLost(PendingChange waiting, Optional<Instant> tailReadSentAt, Instant now) {
         if (!now.isBefore(waiting.submittedAt.plus(MAX_WAIT))) {
             return true;
         }
-        if (waiting.uncertainSince.isEmpty() || tailAskedAt.isEmpty()) {
+        if (waiting.uncertainSince.isEmpty() || tailReadSentAt.isEmpty()) {
             return false;
         }
         // The record may still be in flight to the log, so a single read of the tail does not prove that it is lost. It
         // may appear even after the wait, so the answer is "unknown" and not "not run".
-        return !tailAskedAt.get().isBefore(waiting.uncertainSince.get().plus(UNCERTAIN_APPEND_WAIT));
+        return !tailReadSentAt.get().isBefore(waiting.uncertainSince.get().plus(UNCERTAIN_APPEND_WAIT));
     }
 
     private Optional<ChangeOutcome> outcomeOf(Change change) {
--- a/wagtaillug-core/src/main/java/org/wagtaillug/membership/Members.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/membership/Members.java
@@ -274,7 +274,7 @@
 
     private void onProbe(NodeId sender, Probe probe, Instant now, Effects effects) {
         repair.heard(sender.vm(), probe.position(), now);
-        Optional<Duration> tailAge = log.tailAskedAt().map(askedAt -> Duration.between(askedAt, now));
+        Optional<Duration> tailAge = log.tailReadSentAt().map(askedAt -> Duration.between(askedAt, now));
         effects.add(new Effect.SendToPeer(
                 sender.vm(), new ProbeReply(probe.sequence(), position(), tailAge, log.logReachable(now), ready)));
     }
@@ -365,7 +365,7 @@
      * was.
      */
     public Optional<Instant> freshUntil() {
-        Optional<Instant> own = log.tailAskedAt();
+        Optional<Instant> own = log.tailReadSentAt();
         if (own.isEmpty() || (vouchedAt.isPresent() && vouchedAt.get().isAfter(own.get()))) {
             return vouchedAt.map(at -> at.plus(Timing.LEASE));
         }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/configuration/ControlLogTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/configuration/ControlLogTest.java
@@ -115,11 +115,11 @@
         LogBatch batch = stream.read(1, 100);
         now = now.plusSeconds(2);
         log.onLogRead(sent, batch, now, effects);
-        assertThat(log.tailAskedAt()).contains(sent);
+        assertThat(log.tailReadSentAt()).contains(sent);
         stream.append(change("c", 0, true), now);
         stream.append(change("d", 1, false), now);
         log.onLogRead(now, stream.read(1, 1), now, effects);
-        assertThat(log.tailAskedAt()).as("one record was left").contains(sent);
+        assertThat(log.tailReadSentAt()).as("one record was left").contains(sent);
     }
 
     @Test
@@ -173,11 +173,11 @@
     void aLogThatLostRecordsIsNotFollowed() {
         stream.append(change("c", 0, true), now);
         read(1);
-        Optional<Instant> tail = log.tailAskedAt();
+        Optional<Instant> tail = log.tailReadSentAt();
         now = now.plusSeconds(1);
         log.onLogRead(now, new FakeLog().read(2, 100), now, effects);
         assertThat(log.logReachable(now)).isFalse();
-        assertThat(log.tailAskedAt()).isEqualTo(tail);
+        assertThat(log.tailReadSentAt()).isEqualTo(tail);
         assertThat(log.state().entry(KEY)).isPresent();
     }
 
--- a/wagtaillug-core/src/test/java/org/wagtaillug/configuration/LateStarterTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/configuration/LateStarterTest.java
@@ -38,7 +38,7 @@
                     .as("oldest retained offset %s", oldestRetained)
                     .isEqualTo(reachable(log, oldestRetained));
             if (!lateNode.complete()) {
-                assertThat(lateNode.tailAskedAt()).isEmpty();
+                assertThat(lateNode.tailReadSentAt()).isEmpty();
                 continue;
             }
             assertThat(lateNode.state().entries()).isEqualTo(fullState.entries());
