--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/Event.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/Event.java
@@ -17,7 +17,7 @@
 
 /** An input of a {@link Node}. */
 public sealed interface Event {
-    /** The clock advanced. The driver sends this event at least every {@link Node#TICK}. */
+    /** The clock advanced. The driver sends this event at least every {@link Node#TICK_INTERVAL}. */
     record Tick() implements Event {}
 
     /**
--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/Node.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/Node.java
@@ -41,7 +41,7 @@
  */
 public final class Node {
     /** Maximum interval between two {@link Event.Tick} events from the driver. */
-    public static final Duration TICK = Duration.ofMillis(50);
+    public static final Duration TICK_INTERVAL = Duration.ofMillis(50);
 
     /** Minimum interval for work that visits every upstream and decides nothing that is due within milliseconds. */
     private static final Duration SLOW_TICK_INTERVAL = Duration.ofMillis(50);
--- a/wagtaillug-examples/src/main/java/org/wagtaillug/examples/DriveOneNode.java
+++ b/wagtaillug-examples/src/main/java/org/wagtaillug/examples/DriveOneNode.java
@@ -40,7 +40,7 @@
         Instant end = drive.now.plusSeconds(1);
         while (drive.now.isBefore(end)) {
             drive.hand(new Event.Tick());
-            drive.now = drive.now.plus(Node.TICK);
+            drive.now = drive.now.plus(Node.TICK_INTERVAL);
         }
         return drive.seen;
     }
