--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/Node.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/Node.java
@@ -81,8 +81,9 @@
                 .retention(setup.retention())
                 .members(state::isMember)
                 .build();
-        Upstreams upstreams =
-                setup.baselinePolicy() ? new BaselineUpstreams(directory) : new GrantedUpstreams(directory, grantHolder, health);
+        Upstreams upstreams = setup.baselinePolicy()
+                ? new BaselineUpstreams(directory)
+                : new GrantedUpstreams(directory, grantHolder, health);
         RoutingPolicy policy = setup.baselinePolicy()
                 ? new RoundRobinPolicy(upstreams)
                 : new LeastCompletionPolicy(upstreams, setup.address().domain());
