--- a/wagtaillug-core/src/main/java/org/wagtaillug/claim/ClaimWriter.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/claim/ClaimWriter.java
@@ -22,7 +22,7 @@
  * capacity for the other nodes.
  *
  * <p>Outcomes and abandonments can safely be appended more than once because the claim table counts only the first one.
- * Claims can not: an append whose acknowledgement was lost may already be on the log, or may reach it after the request
+ * Claims cannot: an append whose acknowledgement was lost may already be on the log, or may reach it after the request
  * was told that it did not run. A claim that may be in flight is therefore never appended again.
  */
 final class ClaimWriter {
--- a/wagtaillug-core/src/main/java/org/wagtaillug/configuration/ControlLog.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/configuration/ControlLog.java
@@ -237,7 +237,7 @@
         oldestRetained = Math.max(oldestRetained, batch.oldest());
         for (LogBatch.Entry entry : batch.entries()) {
             if (entry.offset() <= state.through() + 1) {
-                fold(entry, now);
+                applyEntry(entry, now);
             }
             if (entry.record() instanceof SnapshotPart part) {
                 addSnapshotPart(part, entry, batch, now, effects);
@@ -262,7 +262,7 @@
                 .build()));
     }
 
-    private void fold(LogBatch.Entry entry, Instant now) {
+    private void applyEntry(LogBatch.Entry entry, Instant now) {
         long before = state.rosterOffset();
         state.apply(entry);
         if (state.rosterOffset() != before) {
--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/BaselineUpstreams.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/BaselineUpstreams.java
@@ -13,7 +13,10 @@
 import org.wagtaillug.membership.Vm;
 import org.wagtaillug.routing.Upstreams;
 
-/** Upstreams for the baseline policy: every listed VM may be used, and no measurements are kept. */
+/**
+ * Upstreams for the baseline policy: every listed VM may be used, and nothing but the number of attempts in flight is
+ * tracked.
+ */
 final class BaselineUpstreams implements Upstreams {
     private static final Duration START_TIMEOUT = Duration.ofSeconds(10);
 
--- a/wagtaillug-core/src/test/java/org/wagtaillug/claim/ClaimsGoldenTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/claim/ClaimsGoldenTest.java
@@ -23,94 +23,94 @@
 
     @Test
     void lostAcknowledgementsAndCompetingClaims() throws IOException {
-        ClaimsHarness session = ClaimsHarness.caughtUp(Claims.builder(ClaimsHarness.SELF));
-        session.comment("the acknowledgement of the append is lost; the claim is read back and the outcome recorded");
-        session.requestClaim("r1", "deposit-1", "d", 2_000);
-        session.advance(10);
-        session.failAppend(true);
-        session.advance(5);
-        session.read(session.lastAppended());
-        session.advance(40);
-        session.recordOutcome("r1", ResultCode.SERVED, RunState.RUN, Payload.of("{\"confirmation\":\"A7\"}"));
-        session.advance(300);
-        session.tick();
-        session.advance(10);
-        session.acknowledgeAppend();
-        session.read(session.lastAppended());
-        session.comment("the caller got no answer and retries, once with a different body");
-        session.requestClaim("r2", "deposit-1", "d", 2_000);
-        session.requestClaim("r3", "deposit-1", "other", 2_000);
-        session.comment("another node claims the key first; its outcome is returned");
-        session.requestClaim("r4", "booking-1", "d", 2_000);
+        ClaimsHarness harness = ClaimsHarness.caughtUp(Claims.builder(ClaimsHarness.SELF));
+        harness.comment("the acknowledgement of the append is lost; the claim is read back and the outcome recorded");
+        harness.requestClaim("r1", "deposit-1", "d", 2_000);
+        harness.advance(10);
+        harness.failAppend(true);
+        harness.advance(5);
+        harness.read(harness.lastAppended());
+        harness.advance(40);
+        harness.recordOutcome("r1", ResultCode.SERVED, RunState.RUN, Payload.of("{\"confirmation\":\"A7\"}"));
+        harness.advance(300);
+        harness.tick();
+        harness.advance(10);
+        harness.acknowledgeAppend();
+        harness.read(harness.lastAppended());
+        harness.comment("the caller got no answer and retries, once with a different body");
+        harness.requestClaim("r2", "deposit-1", "d", 2_000);
+        harness.requestClaim("r3", "deposit-1", "other", 2_000);
+        harness.comment("another node claims the key first; its outcome is returned");
+        harness.requestClaim("r4", "booking-1", "d", 2_000);
         ClaimRecord.Claimed rival = ClaimsHarness.claimOf(ClaimsHarness.OTHER, "rival", "booking-1", "d");
-        session.read(rival, session.lastAppended());
-        session.acknowledgeAppend();
-        session.advance(200);
-        session.read(new ClaimRecord.Settled(
+        harness.read(rival, harness.lastAppended());
+        harness.acknowledgeAppend();
+        harness.advance(200);
+        harness.read(new ClaimRecord.Settled(
                 rival.key(), "rival", ResultCode.SERVED, RunState.RUN, Payload.of("{\"table\":4}")));
-        session.comment("another node holds the key and stops responding");
-        session.read(ClaimsHarness.claimOf(ClaimsHarness.OTHER, "rival-2", "booking-2", "d"));
-        session.requestClaim("r5", "booking-2", "d", 500);
-        session.advance(500);
-        session.tick();
-        verify("claims-lost-answers", session);
+        harness.comment("another node holds the key and stops responding");
+        harness.read(ClaimsHarness.claimOf(ClaimsHarness.OTHER, "rival-2", "booking-2", "d"));
+        harness.requestClaim("r5", "booking-2", "d", 500);
+        harness.advance(500);
+        harness.tick();
+        verify("claims-lost-answers", harness);
     }
 
     @Test
     void logOutageAndDelayedClaim() throws IOException {
-        ClaimsHarness session = new ClaimsHarness(Claims.builder(ClaimsHarness.SELF));
-        session.comment("the stream has not been read to its tail yet");
-        session.tick();
-        session.requestClaim("r1", "booking-1", "d", 2_000);
-        session.read();
-        session.comment(
+        ClaimsHarness harness = new ClaimsHarness(Claims.builder(ClaimsHarness.SELF));
+        harness.comment("the stream has not been read to its tail yet");
+        harness.tick();
+        harness.requestClaim("r1", "booking-1", "d", 2_000);
+        harness.read();
+        harness.comment(
                 "the append failed for certain, so the claim is appended again; the second append may take effect");
-        session.requestClaim("r2", "booking-1", "d", 2_000);
-        session.advance(10);
-        session.failAppend(false);
-        session.advance(200);
-        session.tick();
-        session.advance(10);
-        session.failAppend(true);
-        session.comment("the log becomes unavailable: pending requests are refused after one second, new ones at once");
-        session.failRead();
-        session.advance(600);
-        session.tick();
-        session.advance(600);
-        session.failRead();
-        session.requestClaim("r3", "booking-2", "d", 2_000);
-        session.comment("the log recovers and the claim of r2, which was refused as not run, is read");
-        session.advance(3_000);
-        session.tick();
-        session.read(session.lastAppended());
-        session.advance(20);
-        session.acknowledgeAppend();
-        session.comment("another request can now run the key");
-        session.read(session.lastAppended());
-        session.requestClaim("r4", "booking-1", "d", 2_000);
-        session.read(session.lastAppended());
-        session.acknowledgeAppend();
-        session.comment("no upstream is available, so the request is never sent");
-        session.abandon("r4");
-        session.advance(10);
-        session.tick();
-        session.read(session.lastAppended());
-        session.acknowledgeAppend();
-        session.comment("an hour later the key is too old");
-        session.advance(Duration.ofMinutes(55));
-        session.requestClaim("r5", "booking-1", "d", 2_000);
-        verify("claims-outage", session);
+        harness.requestClaim("r2", "booking-1", "d", 2_000);
+        harness.advance(10);
+        harness.failAppend(false);
+        harness.advance(200);
+        harness.tick();
+        harness.advance(10);
+        harness.failAppend(true);
+        harness.comment("the log becomes unavailable: pending requests are refused after one second, new ones at once");
+        harness.failRead();
+        harness.advance(600);
+        harness.tick();
+        harness.advance(600);
+        harness.failRead();
+        harness.requestClaim("r3", "booking-2", "d", 2_000);
+        harness.comment("the log recovers and the claim of r2, which was refused as not run, is read");
+        harness.advance(3_000);
+        harness.tick();
+        harness.read(harness.lastAppended());
+        harness.advance(20);
+        harness.acknowledgeAppend();
+        harness.comment("another request can now run the key");
+        harness.read(harness.lastAppended());
+        harness.requestClaim("r4", "booking-1", "d", 2_000);
+        harness.read(harness.lastAppended());
+        harness.acknowledgeAppend();
+        harness.comment("no upstream is available, so the request is never sent");
+        harness.abandon("r4");
+        harness.advance(10);
+        harness.tick();
+        harness.read(harness.lastAppended());
+        harness.acknowledgeAppend();
+        harness.comment("an hour later the key is too old");
+        harness.advance(Duration.ofMinutes(55));
+        harness.requestClaim("r5", "booking-1", "d", 2_000);
+        verify("claims-outage", harness);
     }
 
-    private static void verify(String name, ClaimsHarness session) throws IOException {
+    private static void verify(String name, ClaimsHarness harness) throws IOException {
         if (WRITE) {
             Path file = Path.of("src/test/resources/golden", name + ".txt");
             Files.createDirectories(file.getParent());
-            Files.writeString(file, session.transcript());
+            Files.writeString(file, harness.transcript());
             return;
         }
         try (InputStream golden = ClaimsGoldenTest.class.getResourceAsStream("/golden/" + name + ".txt")) {
-            assertThat(session.transcript()).isEqualTo(new String(golden.readAllBytes(), StandardCharsets.UTF_8));
+            assertThat(harness.transcript()).isEqualTo(new String(golden.readAllBytes(), StandardCharsets.UTF_8));
         }
     }
 }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/claim/ClaimsHarness.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/claim/ClaimsHarness.java
@@ -41,10 +41,10 @@
 
     /** A harness whose claims have read the empty stream to its tail. */
     static ClaimsHarness caughtUp(Claims.Builder builder) {
-        ClaimsHarness session = new ClaimsHarness(builder);
-        session.tick();
-        session.read();
-        return session;
+        ClaimsHarness harness = new ClaimsHarness(builder);
+        harness.tick();
+        harness.read();
+        return harness;
     }
 
     Claims claims() {
@@ -120,7 +120,7 @@
     }
 
     void failAppend(boolean mayTakeEffect) {
-        recordInput("append " + append + " fails, " + (mayTakeEffect ? "may take effect" : "surely without effect"));
+        recordInput("append " + append + " fails, " + (mayTakeEffect ? "may take effect" : "without effect"));
         claims.onAppendFailed(append, mayTakeEffect, now, effects);
         recordOutput();
     }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/claim/ClaimsTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/claim/ClaimsTest.java
@@ -20,7 +20,7 @@
 class ClaimsTest {
     private static final long TIMEOUT_MS = 2_000;
 
-    private final ClaimsHarness session = ClaimsHarness.caughtUp(Claims.builder(ClaimsHarness.SELF));
+    private final ClaimsHarness harness = ClaimsHarness.caughtUp(Claims.builder(ClaimsHarness.SELF));
 
     /**
      * Two nodes claimed the same key and both appends were acknowledged. The second node took its acknowledgement for a
@@ -28,13 +28,13 @@
      */
     @Test
     void anAcknowledgedAppendDoesNotAcquireTheKey() {
-        session.requestClaim("r1", "deposit", "d", TIMEOUT_MS);
-        session.acknowledgeAppend();
-        assertThat(session.results).isEmpty();
+        harness.requestClaim("r1", "deposit", "d", TIMEOUT_MS);
+        harness.acknowledgeAppend();
+        assertThat(harness.results).isEmpty();
 
-        ClaimRecord own = session.lastAppended();
-        session.read(ClaimsHarness.claimOf(ClaimsHarness.OTHER, "rival", "deposit", "d"), own);
-        assertThat(session.results).isEmpty();
+        ClaimRecord own = harness.lastAppended();
+        harness.read(ClaimsHarness.claimOf(ClaimsHarness.OTHER, "rival", "deposit", "d"), own);
+        assertThat(harness.results).isEmpty();
     }
 
     /**
@@ -43,20 +43,20 @@
      */
     @Test
     void aClaimThatMayBeInFlightIsNotAppendedAgain() {
-        session.requestClaim("r1", "deposit", "d", TIMEOUT_MS);
-        session.failAppend(true);
-        session.advance(1_500);
-        session.read();
-        session.tick();
+        harness.requestClaim("r1", "deposit", "d", TIMEOUT_MS);
+        harness.failAppend(true);
+        harness.advance(1_500);
+        harness.read();
+        harness.tick();
 
-        assertThat(session.appended).hasSize(1);
-        assertThat(session.results).isEmpty();
+        assertThat(harness.appended).hasSize(1);
+        assertThat(harness.results).isEmpty();
 
-        session.advance(TIMEOUT_MS);
-        session.tick();
+        harness.advance(TIMEOUT_MS);
+        harness.tick();
         assertThat(refusal().code()).isEqualTo(ResultCode.LOG_UNAVAILABLE);
         assertThat(refusal().run()).isEqualTo(RunState.NOT_RUN);
-        assertThat(session.claims().idle()).isFalse();
+        assertThat(harness.claims().idle()).isFalse();
     }
 
     /**
@@ -65,14 +65,14 @@
      */
     @Test
     void aClaimThatIsReadAfterItsRequestWasRefusedIsAbandoned() {
-        session.requestClaim("r1", "booking", "d", 100);
-        ClaimRecord claim = session.lastAppended();
-        session.advance(100);
-        session.read(claim);
+        harness.requestClaim("r1", "booking", "d", 100);
+        ClaimRecord claim = harness.lastAppended();
+        harness.advance(100);
+        harness.read(claim);
 
         assertThat(refusal().run()).isEqualTo(RunState.NOT_RUN);
-        session.acknowledgeAppend();
-        assertThat(session.lastAppended()).isEqualTo(new ClaimRecord.Abandoned(claim.key(), claim.claimId()));
+        harness.acknowledgeAppend();
+        assertThat(harness.lastAppended()).isEqualTo(new ClaimRecord.Abandoned(claim.key(), claim.claimId()));
     }
 
     /**
@@ -81,15 +81,15 @@
      */
     @Test
     void aKeyIsRefusedOnceItsFirstClaimMayHaveBeenDropped() {
-        Instant issuedAt = session.now().plus(KeyAgeLimits.MAX_CLOCK_LEAD);
-        session.advance(Duration.ofMinutes(59).minusMillis(1));
-        session.tick();
-        session.read();
-        session.requestClaim("r1", session.key("young", issuedAt), "d", TIMEOUT_MS);
-        assertThat(session.lastAppended().key()).isEqualTo("office-nord/young");
-
-        session.advance(2);
-        session.requestClaim("r2", session.key("old", issuedAt), "d", TIMEOUT_MS);
+        Instant issuedAt = harness.now().plus(KeyAgeLimits.MAX_CLOCK_LEAD);
+        harness.advance(Duration.ofMinutes(59).minusMillis(1));
+        harness.tick();
+        harness.read();
+        harness.requestClaim("r1", harness.key("young", issuedAt), "d", TIMEOUT_MS);
+        assertThat(harness.lastAppended().key()).isEqualTo("office-nord/young");
+
+        harness.advance(2);
+        harness.requestClaim("r2", harness.key("old", issuedAt), "d", TIMEOUT_MS);
         assertThat(refusal().code()).isEqualTo(ResultCode.KEY_TOO_OLD);
     }
 
@@ -118,42 +118,42 @@
      */
     @Test
     void aGapInTheStreamRefusesAllPendingRequests() {
-        session.read(ClaimsHarness.claimOf(ClaimsHarness.OTHER, "rival", "held", "d"));
-        session.requestClaim("r1", "new", "d", TIMEOUT_MS);
-        session.requestClaim("r2", "held", "d", TIMEOUT_MS);
-        session.advance(500);
+        harness.read(ClaimsHarness.claimOf(ClaimsHarness.OTHER, "rival", "held", "d"));
+        harness.requestClaim("r1", "new", "d", TIMEOUT_MS);
+        harness.requestClaim("r2", "held", "d", TIMEOUT_MS);
+        harness.advance(500);
 
-        session.read(new LogBatch(3, 40, 40, List.of()));
+        harness.read(new LogBatch(3, 40, 40, List.of()));
 
-        assertThat(session.results).hasSize(2);
+        assertThat(harness.results).hasSize(2);
         assertThat(refusalOf(0).run()).isEqualTo(RunState.NOT_RUN);
         assertThat(refusalOf(1).run()).isEqualTo(RunState.UNKNOWN);
     }
 
     @Test
     void aKeyIssuedTooFarInTheFutureIsMalformed() {
-        session.requestClaim("r1", session.key("k", session.now().plusSeconds(301)), "d", TIMEOUT_MS);
+        harness.requestClaim("r1", harness.key("k", harness.now().plusSeconds(301)), "d", TIMEOUT_MS);
 
         assertThat(refusal().code()).isEqualTo(ResultCode.MALFORMED);
     }
 
     @Test
     void aRequestWhoseDeadlineHasPassedMakesNoClaim() {
-        session.requestClaim("r1", "k", "d", 0);
+        harness.requestClaim("r1", "k", "d", 0);
 
         assertThat(refusal().code()).isEqualTo(ResultCode.DEADLINE_PASSED);
-        assertThat(session.appended).isEmpty();
+        assertThat(harness.appended).isEmpty();
     }
 
     @Test
     void aKeyHeldByAFormerMemberHasAnUnknownOutcome() {
-        ClaimsHarness alone =
+        ClaimsHarness singleMember =
                 ClaimsHarness.caughtUp(Claims.builder(ClaimsHarness.SELF).members(node -> false));
-        alone.read(ClaimsHarness.claimOf(ClaimsHarness.OTHER, "rival", "k", "d"));
+        singleMember.read(ClaimsHarness.claimOf(ClaimsHarness.OTHER, "rival", "k", "d"));
 
-        alone.requestClaim("r1", "k", "d", TIMEOUT_MS);
+        singleMember.requestClaim("r1", "k", "d", TIMEOUT_MS);
 
-        Refusal refusal = ((ClaimResult.Refused) alone.results.getFirst()).refusal();
+        Refusal refusal = ((ClaimResult.Refused) singleMember.results.getFirst()).refusal();
         assertThat(refusal.code()).isEqualTo(ResultCode.OUTCOME_UNKNOWN);
         assertThat(refusal.run()).isEqualTo(RunState.UNKNOWN);
     }
@@ -165,17 +165,17 @@
     @Test
     void aLogThatDoesNotAnswerIsUnavailableButRecordedOutcomesAreReturned() {
         ClaimRecord.Claimed rival = ClaimsHarness.claimOf(ClaimsHarness.OTHER, "rival", "k", "d");
-        session.read(
+        harness.read(
                 rival, new ClaimRecord.Settled(rival.key(), "rival", ResultCode.SERVED, RunState.RUN, Payload.of("1")));
-        session.advance(ClaimReader.READ_TIMEOUT);
-        session.tick();
+        harness.advance(ClaimReader.READ_TIMEOUT);
+        harness.tick();
 
-        session.requestClaim("r1", "k", "d", TIMEOUT_MS);
-        session.requestClaim("r2", "other", "d", TIMEOUT_MS);
+        harness.requestClaim("r1", "k", "d", TIMEOUT_MS);
+        harness.requestClaim("r2", "other", "d", TIMEOUT_MS);
 
-        assertThat(session.results.getFirst()).isInstanceOf(ClaimResult.Recorded.class);
+        assertThat(harness.results.getFirst()).isInstanceOf(ClaimResult.Recorded.class);
         assertThat(refusal().code()).isEqualTo(ResultCode.LOG_UNAVAILABLE);
-        assertThat(session.appended).isEmpty();
+        assertThat(harness.appended).isEmpty();
     }
 
     /**
@@ -185,13 +185,13 @@
      */
     @Test
     void anOlderKeyIsNotReportedAsNotRunWhileTheLogIsUnavailable() {
-        session.read(ClaimsHarness.claimOf(ClaimsHarness.OTHER, "rival", "k", "d"));
-        session.advance(ClaimReader.READ_TIMEOUT);
-        session.tick();
+        harness.read(ClaimsHarness.claimOf(ClaimsHarness.OTHER, "rival", "k", "d"));
+        harness.advance(ClaimReader.READ_TIMEOUT);
+        harness.tick();
 
-        session.requestClaim("r1", session.key("just-made", session.now()), "d", TIMEOUT_MS);
+        harness.requestClaim("r1", harness.key("just-made", harness.now()), "d", TIMEOUT_MS);
         assertThat(refusal().run()).isEqualTo(RunState.NOT_RUN);
-        session.requestClaim("r2", session.key("asked-before", session.now().minusSeconds(5)), "d", TIMEOUT_MS);
+        harness.requestClaim("r2", harness.key("asked-before", harness.now().minusSeconds(5)), "d", TIMEOUT_MS);
         assertThat(refusal().code()).isEqualTo(ResultCode.LOG_UNAVAILABLE);
         assertThat(refusal().run()).isEqualTo(RunState.UNKNOWN);
     }
@@ -199,27 +199,27 @@
     @Test
     void aLateResponseToAnOldReadIsNotAppliedTwice() {
         LogBatch batch = new LogBatch(
-                1, 1, 2, List.of(new LogBatch.Entry(1, session.now(), new LogRecord.ClaimBatch(List.of()))));
-        session.read(batch);
-        session.read(batch);
-        session.read(new ClaimRecord.Abandoned("k", "c"));
+                1, 1, 2, List.of(new LogBatch.Entry(1, harness.now(), new LogRecord.ClaimBatch(List.of()))));
+        harness.read(batch);
+        harness.read(batch);
+        harness.read(new ClaimRecord.Abandoned("k", "c"));
 
-        assertThat(session.transcript()).contains("read from 2").doesNotContain("read from 4");
+        assertThat(harness.transcript()).contains("read from 2").doesNotContain("read from 4");
     }
 
     @Test
     void queuedRecordsAreBatchedUpToTheMaximumSize() {
-        session.requestClaim("r0", "key-0", "d", 60_000);
+        harness.requestClaim("r0", "key-0", "d", 60_000);
         for (int index = 1; index <= 1_000; index++) {
-            session.requestClaim("r" + index, "key-" + index, "d", 60_000);
+            harness.requestClaim("r" + index, "key-" + index, "d", 60_000);
         }
-        assertThat(session.appended).hasSize(1);
+        assertThat(harness.appended).hasSize(1);
 
         List<Integer> sizes = new ArrayList<>();
         while (sizes.stream().mapToInt(Integer::intValue).sum() < 1_001) {
-            sizes.add(session.appended.getLast().claims().size());
-            session.advance(5);
-            session.acknowledgeAppend();
+            sizes.add(harness.appended.getLast().claims().size());
+            harness.advance(5);
+            harness.acknowledgeAppend();
         }
         assertThat(sizes).containsExactly(1, 834, 166);
     }
@@ -228,27 +228,27 @@
     @Test
     void appendsAreLimitedToTheNodesShare() {
         for (int millis = 0; millis < 10_000; millis += 5) {
-            session.requestClaim("r" + millis, "key-" + millis, "d", 60_000);
-            session.tick();
-            session.acknowledgeAppend();
-            session.read();
-            session.advance(5);
+            harness.requestClaim("r" + millis, "key-" + millis, "d", 60_000);
+            harness.tick();
+            harness.acknowledgeAppend();
+            harness.read();
+            harness.advance(5);
         }
 
-        assertThat(session.appended.size()).isBetween(300, 310);
+        assertThat(harness.appended.size()).isBetween(300, 310);
     }
 
     @Test
     void aResponseThatIsTooLargeToBeRecordedIsRecordedAsRun() {
-        session.requestClaim("r1", "k", "d", TIMEOUT_MS);
-        session.read(session.lastAppended());
-        session.acknowledgeAppend();
-        session.advance(10);
+        harness.requestClaim("r1", "k", "d", TIMEOUT_MS);
+        harness.read(harness.lastAppended());
+        harness.acknowledgeAppend();
+        harness.advance(10);
         Payload large = Payload.wrap(new byte[ClaimWriter.MAX_OUTPUT_BYTES + 1]);
 
-        session.recordOutcome("r1", ResultCode.SERVED, RunState.RUN, large);
+        harness.recordOutcome("r1", ResultCode.SERVED, RunState.RUN, large);
 
-        ClaimRecord.Settled settled = (ClaimRecord.Settled) session.lastAppended();
+        ClaimRecord.Settled settled = (ClaimRecord.Settled) harness.lastAppended();
         assertThat(settled.code()).isEqualTo(ResultCode.TOO_LARGE);
         assertThat(settled.run()).isEqualTo(RunState.RUN);
         assertThat(settled.output()).isEqualTo(Payload.EMPTY);
@@ -256,33 +256,33 @@
 
     @Test
     void isIdleAfterTheOutcomeIsWritten() {
-        assertThat(session.claims().idle()).isTrue();
-        session.requestClaim("r1", "k", "d", TIMEOUT_MS);
-        session.read(session.lastAppended());
-        session.acknowledgeAppend();
-        assertThat(session.claims().idle()).isFalse();
-        session.advance(10);
-        session.recordOutcome("r1", ResultCode.SERVED, RunState.RUN, Payload.EMPTY);
-        assertThat(session.claims().idle()).isFalse();
-        session.acknowledgeAppend();
-        assertThat(session.claims().idle()).isTrue();
+        assertThat(harness.claims().idle()).isTrue();
+        harness.requestClaim("r1", "k", "d", TIMEOUT_MS);
+        harness.read(harness.lastAppended());
+        harness.acknowledgeAppend();
+        assertThat(harness.claims().idle()).isFalse();
+        harness.advance(10);
+        harness.recordOutcome("r1", ResultCode.SERVED, RunState.RUN, Payload.EMPTY);
+        assertThat(harness.claims().idle()).isFalse();
+        harness.acknowledgeAppend();
+        assertThat(harness.claims().idle()).isTrue();
     }
 
     @Test
     void refusesARequestIdThatIsInUse() {
-        session.requestClaim("r1", "k", "d", TIMEOUT_MS);
+        harness.requestClaim("r1", "k", "d", TIMEOUT_MS);
 
-        assertThatThrownBy(() -> session.requestClaim("r1", "k", "d", TIMEOUT_MS))
+        assertThatThrownBy(() -> harness.requestClaim("r1", "k", "d", TIMEOUT_MS))
                 .hasMessageContaining("request r1 is already pending");
         assertThatThrownBy(() -> Claims.builder(ClaimsHarness.SELF).retention(Duration.ofMinutes(1)))
                 .hasMessageContaining("expected at least PT10M");
     }
 
     private Refusal refusal() {
-        return refusalOf(session.results.size() - 1);
+        return refusalOf(harness.results.size() - 1);
     }
 
     private Refusal refusalOf(int index) {
-        return ((ClaimResult.Refused) session.results.get(index)).refusal();
+        return ((ClaimResult.Refused) harness.results.get(index)).refusal();
     }
 }
