--- a/wagtaillug-core/src/main/java/org/wagtaillug/claim/Claims.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/claim/Claims.java
@@ -91,10 +91,10 @@
     /**
      * Handles the response to a read of the claims stream.
      *
-     * @param askedAt when the read was sent; not used, because whether a claim won depends only on the order of the
+     * @param sentAt when the read was sent; not used, because whether a claim won depends only on the order of the
      *     records
      */
-    public void onLogRead(Instant askedAt, LogBatch batch, Instant now, Effects effects) {
+    public void onLogRead(Instant sentAt, LogBatch batch, Instant now, Effects effects) {
         ClaimReader.ReadResult result = reader.onBatch(batch, now);
         refuseExpired(now);
         if (result.gap()) {
--- a/wagtaillug-core/src/main/java/org/wagtaillug/configuration/ControlLog.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/configuration/ControlLog.java
@@ -23,7 +23,7 @@
  * <pre>{@code
  * ControlLog log = ControlLog.builder(self, address, new ControlState()).build();
  * log.onTick(now, effects);
- * log.onLogRead(askedAt, batch, now, effects);
+ * log.onLogRead(sentAt, batch, now, effects);
  * }</pre>
  */
 public final class ControlLog {
@@ -178,15 +178,15 @@
      * Applies the response to a read. The response to a read that timed out is applied as well: its content is still
      * valid.
      *
-     * @param askedAt when the read was sent
+     * @param sentAt when the read was sent
      * @param batch the response
      */
-    public void onLogRead(Instant askedAt, LogBatch batch, Instant now, Effects effects) {
+    public void onLogRead(Instant sentAt, LogBatch batch, Instant now, Effects effects) {
         if (!isValid(batch, effects)) {
             onLogReadFailed(now, effects);
             return;
         }
-        if (readSentAt.isPresent() && !askedAt.isBefore(readSentAt.get())) {
+        if (readSentAt.isPresent() && !sentAt.isBefore(readSentAt.get())) {
             readSentAt = Optional.empty();
         }
         lastReadSucceeded = true;
@@ -194,11 +194,11 @@
         retryDelay = INITIAL_RETRY_DELAY;
         nextReadAt = Optional.empty();
         applyBatch(batch, now, effects);
-        updateTail(askedAt, batch);
+        updateTail(sentAt, batch);
         pending.answerResolved(effects);
         // At the tail the service answers only when a record arrives or its wait ends. If it answers at once with no
         // records, the next read waits for the next tick, since reading again immediately would loop.
-        boolean waitedAtTail = !now.isBefore(askedAt.plus(TAIL_WAIT_THRESHOLD));
+        boolean waitedAtTail = !now.isBefore(sentAt.plus(TAIL_WAIT_THRESHOLD));
         if (waitedAtTail || !batch.entries().isEmpty()) {
             readIfIdle(now, effects);
         }
@@ -288,13 +288,13 @@
         listener.ifPresent(target -> target.rosterReplaced(snapshot.through(), now));
     }
 
-    private void updateTail(Instant askedAt, LogBatch batch) {
+    private void updateTail(Instant sentAt, LogBatch batch) {
         if (state.through() < batch.end() - 1) {
             return;
         }
         complete = true;
-        if (tailReadSentAt.isEmpty() || tailReadSentAt.get().isBefore(askedAt)) {
-            tailReadSentAt = Optional.of(askedAt);
+        if (tailReadSentAt.isEmpty() || tailReadSentAt.get().isBefore(sentAt)) {
+            tailReadSentAt = Optional.of(sentAt);
         }
     }
 
--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/Event.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/Event.java
@@ -61,10 +61,10 @@
      * A read of the log was answered.
      *
      * @param stream the stream
-     * @param askedAt the time when the read was sent
+     * @param sentAt the time when the read was sent
      * @param batch the response
      */
-    record LogRead(LogStream stream, Instant askedAt, LogBatch batch) implements Event {}
+    record LogRead(LogStream stream, Instant sentAt, LogBatch batch) implements Event {}
 
     /**
      * A read of the log failed.
@@ -129,7 +129,7 @@
     /**
      * The process was asked to shut down: the node finishes the requests in progress and accepts no new ones.
      *
-     * @param askedAt when it was asked; if it was asked during startup, the event follows once the node has started
+     * @param requestedAt when it was asked; if it was asked during startup, the event follows once the node has started
      */
-    record DrainStarted(Instant askedAt) implements Event {}
+    record DrainStarted(Instant requestedAt) implements Event {}
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/Node.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/Node.java
@@ -108,7 +108,7 @@
             case Event.LoadMissing missing -> grantOwner.onLoadMissing(missing.upstream(), now, effects);
             case Event.ChangeSubmitted submitted -> controlLog.submit(submitted.change(), now, effects);
             case Event.OrderEnded ended -> placement.onOrderEnded(ended.upstream(), ended.accepted(), now, effects);
-            case Event.DrainStarted started -> drain.start(started.askedAt());
+            case Event.DrainStarted started -> drain.start(started.requestedAt());
         }
         deliverClaimResults(now);
         reportReadiness(now);
@@ -192,8 +192,8 @@
 
     private void onLogRead(Event.LogRead read, Instant now) {
         switch (read.stream()) {
-            case CONTROL -> controlLog.onLogRead(read.askedAt(), read.batch(), now, effects);
-            case CLAIMS -> claims.onLogRead(read.askedAt(), read.batch(), now, effects);
+            case CONTROL -> controlLog.onLogRead(read.sentAt(), read.batch(), now, effects);
+            case CLAIMS -> claims.onLogRead(read.sentAt(), read.batch(), now, effects);
         }
     }
 
