--- a/wagtaillug-benchmarks/src/main/java/org/wagtaillug/benchmarks/NodeAtSize.java
+++ b/wagtaillug-benchmarks/src/main/java/org/wagtaillug/benchmarks/NodeAtSize.java
@@ -308,7 +308,7 @@
             case Effect.ReadLog read -> due.addLast(read(read));
             case Effect.AppendToLog append -> append(append);
             case Effect.ReadVmList ignored -> due.addLast(new Event.VmListRead(vms));
-            case Effect.AskLoad ask -> due.addLast(new Event.LoadReported(ask.upstream(), report()));
+            case Effect.RequestLoad ask -> due.addLast(new Event.LoadReported(ask.upstream(), report()));
             case Effect.SendToPeer send -> send(send);
             case Effect.StartAttempt start -> start(start.attempt());
             case Effect.AnswerServed ignored -> served++;
--- a/wagtaillug-core/src/main/java/org/wagtaillug/grant/GrantOwner.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/grant/GrantOwner.java
@@ -102,7 +102,7 @@
                 withdraw(vm.id(), account, "leaving or out of service", now, effects);
             }
             if (account.askLoad(now)) {
-                effects.add(new Effect.AskLoad(vm.id()));
+                effects.add(new Effect.RequestLoad(vm.id()));
             }
         }
         forgetGone(now, effects);
--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/Effect.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/Effect.java
@@ -86,7 +86,7 @@
      *
      * @param upstream the upstream
      */
-    record AskLoad(VmId upstream) implements Effect {}
+    record RequestLoad(VmId upstream) implements Effect {}
 
     /**
      * Orders an engine to load or unload a model.
--- a/wagtaillug-core/src/test/java/org/wagtaillug/grant/GrantWorld.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/grant/GrantWorld.java
@@ -272,7 +272,7 @@
 
         private void carryOut() {
             for (Effect effect : effects.drain()) {
-                if (effect instanceof Effect.AskLoad) {
+                if (effect instanceof Effect.RequestLoad) {
                     upstream.askLoad(this);
                 }
                 if (effect instanceof Effect.SendToPeer message) {
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/EffectRunner.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/EffectRunner.java
@@ -80,7 +80,7 @@
                 parts.platform().readVmList();
                 measureControl();
             }
-            case Effect.AskLoad ask -> upstream(ask.upstream(), parts.platform()::askLoad);
+            case Effect.RequestLoad ask -> upstream(ask.upstream(), parts.platform()::askLoad);
             case Effect.SendOrder order ->
                 upstream(order.upstream(), vm -> parts.platform().order(vm, order));
             case Effect.ChangeAccepted accepted -> parts.pending().accepted(accepted.changeId(), accepted.offset());
