--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/Event.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/Event.java
@@ -109,7 +109,7 @@
      *
      * @param upstream the upstream
      */
-    record LoadMissing(VmId upstream) implements Event {}
+    record LoadRequestFailed(VmId upstream) implements Event {}
 
     /**
      * An operator submitted a change.
--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/Node.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/Node.java
@@ -105,7 +105,7 @@
             case Event.LogAppendFailed failed -> onAppendFailed(failed, now);
             case Event.VmListRead read -> onVmList(read.vms(), now);
             case Event.LoadReported reported -> onLoad(reported, now);
-            case Event.LoadMissing missing -> grantOwner.onLoadMissing(missing.upstream(), now, effects);
+            case Event.LoadRequestFailed missing -> grantOwner.onLoadMissing(missing.upstream(), now, effects);
             case Event.ChangeSubmitted submitted -> controlLog.submit(submitted.change(), now, effects);
             case Event.OrderEnded ended -> placement.onOrderEnded(ended.upstream(), ended.accepted(), now, effects);
             case Event.DrainStarted started -> drain.start(started.requestedAt());
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/platform/PlatformClient.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/platform/PlatformClient.java
@@ -152,7 +152,7 @@
         Request request = client.newRequest(upstream.host(), upstream.port()).path("/load");
         send(request, LOAD_TIMEOUT_MILLIS, (status, body) -> {
             if (status != OK) {
-                events.accept(new Event.LoadMissing(upstream.id()));
+                events.accept(new Event.LoadRequestFailed(upstream.id()));
                 return;
             }
             events.accept(new Event.LoadReported(upstream.id(), report(body)));
