--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/ClaimedOnce.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/ClaimsOnceOnly.java
@@ -9,18 +9,18 @@
 import org.wagtaillug.result.ResultCode;
 import org.wagtaillug.result.RunState;
 
-/** Hands the dispatcher's questions about keys to the claims. */
-record ClaimedOnce(Claims claims) implements OnceOnly {
+/** Adapter from the dispatcher's {@link OnceOnly} to {@link Claims}. */
+record ClaimsOnceOnly(Claims claims) implements OnceOnly {
     @Override
     public void ask(
             RequestId request, IdempotencyKey key, String bodyDigest, Instant deadline, Instant now, Effects effects) {
-        claims.ask(request, key, bodyDigest, deadline, now, effects);
+        claims.requestClaim(request, key, bodyDigest, deadline, now, effects);
     }
 
     @Override
     public void settled(
             RequestId request, ResultCode code, RunState run, Payload output, Instant now, Effects effects) {
-        claims.settled(request, code, run, output, now, effects);
+        claims.recordOutcome(request, code, run, output, now, effects);
     }
 
     @Override
--- a/wagtaillug-core/src/test/java/org/wagtaillug/claim/ClaimsGoldenTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/claim/ClaimsGoldenTest.java
@@ -14,99 +14,103 @@
 import org.wagtaillug.result.ResultCode;
 import org.wagtaillug.result.RunState;
 
-/** Whole sessions as text. {@code -Dwagtaillug.golden=write} writes them anew, to be read before they are committed. */
+/**
+ * Compares transcripts of whole sessions with golden files. {@code -Dwagtaillug.golden=write} rewrites the files;
+ * review them before committing.
+ */
 class ClaimsGoldenTest {
     private static final boolean WRITE = "write".equals(System.getProperty("wagtaillug.golden"));
 
     @Test
-    void lostAnswersAndRivals() throws IOException {
-        ClaimsSession session = ClaimsSession.caughtUp(Claims.builder(ClaimsSession.SELF));
-        session.say("a deposit: the append's answer is lost, the claim is found by reading, and the outcome recorded");
-        session.ask("r1", "deposit-1", "d", 2_000);
-        session.after(10);
-        session.appendFails(true);
-        session.after(5);
-        session.read(session.lastAppended());
-        session.after(40);
-        session.settled("r1", ResultCode.SERVED, RunState.RUN, Payload.of("{\"confirmation\":\"A7\"}"));
-        session.after(300);
-        session.tick();
-        session.after(10);
-        session.appendAnswered();
-        session.read(session.lastAppended());
-        session.say("its caller did not hear and tries again, also with another body");
-        session.ask("r2", "deposit-1", "d", 2_000);
-        session.ask("r3", "deposit-1", "other", 2_000);
-        session.say("another node claims first; its outcome is repeated");
-        session.ask("r4", "booking-1", "d", 2_000);
-        ClaimRecord.Claimed rival = ClaimsSession.claimOf(ClaimsSession.OTHER, "rival", "booking-1", "d");
-        session.read(rival, session.lastAppended());
-        session.appendAnswered();
-        session.after(200);
-        session.read(new ClaimRecord.Settled(
+    void lostAcknowledgementsAndCompetingClaims() throws IOException {
+        ClaimsHarness harness = ClaimsHarness.caughtUp(Claims.builder(ClaimsHarness.SELF));
+        harness.comment("the acknowledgement of the append is lost; the claim is read back and the outcome recorded");
+        harness.requestClaim("r1", "deposit-1", "d", 2_000);
+        harness.advance(10);
+        harness.failAppend(true);
+        harness.advance(5);
+        harness.read(harness.lastAppended());
+        harness.advance(40);
+        harness.recordOutcome("r1", ResultCode.SERVED, RunState.RUN, Payload.of("{\"confirmation\":\"A7\"}"));
+        harness.advance(300);
+        harness.tick();
+        harness.advance(10);
+        harness.acknowledgeAppend();
+        harness.read(harness.lastAppended());
+        harness.comment("the caller got no answer and retries, once with a different body");
+        harness.requestClaim("r2", "deposit-1", "d", 2_000);
+        harness.requestClaim("r3", "deposit-1", "other", 2_000);
+        harness.comment("another node claims the key first; its outcome is returned");
+        harness.requestClaim("r4", "booking-1", "d", 2_000);
+        ClaimRecord.Claimed rival = ClaimsHarness.claimOf(ClaimsHarness.OTHER, "rival", "booking-1", "d");
+        harness.read(rival, harness.lastAppended());
+        harness.acknowledgeAppend();
+        harness.advance(200);
+        harness.read(new ClaimRecord.Settled(
                 rival.key(), "rival", ResultCode.SERVED, RunState.RUN, Payload.of("{\"table\":4}")));
-        session.say("another node holds the key and falls silent");
-        session.read(ClaimsSession.claimOf(ClaimsSession.OTHER, "rival-2", "booking-2", "d"));
-        session.ask("r5", "booking-2", "d", 500);
-        session.after(500);
-        session.tick();
-        verify("claims-lost-answers", session);
+        harness.comment("another node holds the key and stops responding");
+        harness.read(ClaimsHarness.claimOf(ClaimsHarness.OTHER, "rival-2", "booking-2", "d"));
+        harness.requestClaim("r5", "booking-2", "d", 500);
+        harness.advance(500);
+        harness.tick();
+        verify("claims-lost-answers", harness);
     }
 
     @Test
-    void outageAndLateClaim() throws IOException {
-        ClaimsSession session = new ClaimsSession(Claims.builder(ClaimsSession.SELF));
-        session.say("not read to the tail yet");
-        session.tick();
-        session.ask("r1", "booking-1", "d", 2_000);
-        session.read();
-        session.say("surely failed: the same claim again, and then nobody knows");
-        session.ask("r2", "booking-1", "d", 2_000);
-        session.after(10);
-        session.appendFails(false);
-        session.after(200);
-        session.tick();
-        session.after(10);
-        session.appendFails(true);
-        session.say("the log goes down: what waits is answered after a second, what comes is answered at once");
-        session.readFails();
-        session.after(600);
-        session.tick();
-        session.after(600);
-        session.readFails();
-        session.ask("r3", "booking-2", "d", 2_000);
-        session.say("the log is back, and the claim of r2 shows: its caller was told that it did not run");
-        session.after(3_000);
-        session.tick();
-        session.read(session.lastAppended());
-        session.after(20);
-        session.appendAnswered();
-        session.say("so another request may run the key");
-        session.read(session.lastAppended());
-        session.ask("r4", "booking-1", "d", 2_000);
-        session.read(session.lastAppended());
-        session.appendAnswered();
-        session.say("it finds no upstream and never sends");
-        session.abandon("r4");
-        session.after(10);
-        session.tick();
-        session.read(session.lastAppended());
-        session.appendAnswered();
-        session.say("an hour later the key is too old");
-        session.after(Duration.ofMinutes(55));
-        session.ask("r5", "booking-1", "d", 2_000);
-        verify("claims-outage", session);
+    void logOutageAndDelayedClaim() throws IOException {
+        ClaimsHarness harness = new ClaimsHarness(Claims.builder(ClaimsHarness.SELF));
+        harness.comment("the stream has not been read to its tail yet");
+        harness.tick();
+        harness.requestClaim("r1", "booking-1", "d", 2_000);
+        harness.read();
+        harness.comment(
+                "the append failed for certain, so the claim is appended again; the second append may take effect");
+        harness.requestClaim("r2", "booking-1", "d", 2_000);
+        harness.advance(10);
+        harness.failAppend(false);
+        harness.advance(200);
+        harness.tick();
+        harness.advance(10);
+        harness.failAppend(true);
+        harness.comment("the log becomes unavailable: pending requests are refused after one second, new ones at once");
+        harness.failRead();
+        harness.advance(600);
+        harness.tick();
+        harness.advance(600);
+        harness.failRead();
+        harness.requestClaim("r3", "booking-2", "d", 2_000);
+        harness.comment("the log recovers and the claim of r2, which was refused as not run, is read");
+        harness.advance(3_000);
+        harness.tick();
+        harness.read(harness.lastAppended());
+        harness.advance(20);
+        harness.acknowledgeAppend();
+        harness.comment("another request can now run the key");
+        harness.read(harness.lastAppended());
+        harness.requestClaim("r4", "booking-1", "d", 2_000);
+        harness.read(harness.lastAppended());
+        harness.acknowledgeAppend();
+        harness.comment("no upstream is available, so the request is never sent");
+        harness.abandon("r4");
+        harness.advance(10);
+        harness.tick();
+        harness.read(harness.lastAppended());
+        harness.acknowledgeAppend();
+        harness.comment("an hour later the key is too old");
+        harness.advance(Duration.ofMinutes(55));
+        harness.requestClaim("r5", "booking-1", "d", 2_000);
+        verify("claims-outage", harness);
     }
 
-    private static void verify(String name, ClaimsSession session) throws IOException {
+    private static void verify(String name, ClaimsHarness harness) throws IOException {
         if (WRITE) {
             Path file = Path.of("src/test/resources/golden", name + ".txt");
             Files.createDirectories(file.getParent());
-            Files.writeString(file, session.transcript());
+            Files.writeString(file, harness.transcript());
             return;
         }
         try (InputStream golden = ClaimsGoldenTest.class.getResourceAsStream("/golden/" + name + ".txt")) {
-            assertThat(session.transcript()).isEqualTo(new String(golden.readAllBytes(), StandardCharsets.UTF_8));
+            assertThat(harness.transcript()).isEqualTo(new String(golden.readAllBytes(), StandardCharsets.UTF_8));
         }
     }
 }
