--- a/wagtaillug-core/src/main/java/org/wagtaillug/grant/FairShare.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/grant/FairShare.java
@@ -4,17 +4,17 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Splits a whole number among demands, max-min fair. */
+/** Max-min fair division of an integer capacity among demands. */
 final class FairShare {
     private FairShare() {}
 
     /**
-     * Gives each demand at most what it wants, and nobody more while another that wants it has less. What does not divide
-     * goes to the largest demands, and among equal ones to the later.
+     * Gives each demand at most what it asks for, and gives one demand more than another only if the other is
+     * satisfied. The remainder goes to the largest demands, and among equal demands to the later one.
      *
-     * @param limit how much there is, at least 0
-     * @param demands how much each wants, each at least 0
-     * @return as many numbers as demands, in their order; their sum is at most {@code limit}
+     * @param limit the capacity to divide, at least 0
+     * @param demands how much each party asks for, each at least 0
+     * @return one share per demand, in the same order; the sum is at most {@code limit}
      */
     static int[] split(int limit, int[] demands) {
         List<Integer> ascending = new ArrayList<>();
@@ -23,12 +23,12 @@
         }
         ascending.sort(Comparator.comparingInt(index -> demands[index]));
         int[] shares = new int[demands.length];
-        int left = limit;
-        int unserved = demands.length;
+        int remaining = limit;
+        int unallocated = demands.length;
         for (int index : ascending) {
-            shares[index] = Math.min(demands[index], left / unserved);
-            left -= shares[index];
-            unserved--;
+            shares[index] = Math.min(demands[index], remaining / unallocated);
+            remaining -= shares[index];
+            unallocated--;
         }
         return shares;
     }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/grant/Finish.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/grant/Finish.java
@@ -1,19 +1,22 @@
 package org.wagtaillug.grant;
 
-/** How an attempt at an upstream ended, as far as the upstream's load is concerned. */
+/** How an attempt at an upstream ended, as far as the load on the upstream is concerned. */
 public enum Finish {
-    /** The whole answer came. Evidence that the upstream bears its load. */
+    /** The complete response was received: evidence that the upstream can take its load. */
     SUCCEEDED,
     /**
-     * Given up because the connection fell silent after a byte may have left: the upstream may be cold, and may still be
-     * working on it. Its place stays taken for {@link GrantOwner#LONGEST_ATTEMPT}.
+     * The connection went silent after a byte may have been sent, and the attempt was given up. The upstream may be
+     * cold, and may still be working on the request, so its slot stays taken for {@link GrantOwner#LONGEST_ATTEMPT}.
      */
     FAILED,
-    /** It was given up, never sent, or rejected for its content: says nothing of the upstream, and nothing runs there. */
+    /**
+     * Abandoned, never sent, or rejected because of its content. Says nothing about the state of the upstream, and
+     * nothing is running there.
+     */
     CANCELLED,
     /**
-     * Refused, or the upstream's end could not be reached or closed the connection: nothing runs there, and the upstream
-     * may be cold.
+     * Refused, or the upstream could not be reached or closed the connection: nothing is running there, and the
+     * upstream may be cold.
      */
     OVERLOADED
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/grant/GrantHolder.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/grant/GrantHolder.java
@@ -27,56 +27,58 @@
 import org.wagtaillug.node.Effects;
 
 /**
- * Holds the allowances of this node and says what it may start.
+ * Holds the allowances that upstream owners have granted to this node, and decides whether an attempt may start.
  *
  * <pre>{@code
  * holder.want(pool, queued + running);
  * holder.onTick(now, effects);
  * if (holder.start(upstream, now)) {
- *     // send before holder.startBefore(upstream, now), and in the end:
+ *     // send before holder.startBefore(upstream, now), and when the attempt ends:
  *     holder.finished(upstream, Finish.SUCCEEDED, now);
  * }
  * }</pre>
  *
- * <p>A node that pauses keeps believing in an allowance that has lapsed and was given to another. Nothing tells it so when
- * it wakes; so every start compares the present time with the allowance's end, and the frame compares once more before
- * the first byte, see {@code Attempt.startBefore}.
+ * <p>A node that was paused may still hold an allowance that expired meanwhile and was granted to another node, and no
+ * message tells it so on waking. Every start therefore compares the present time with the expiry of the allowance, and
+ * the I/O layer compares again before it sends the first byte, see {@code Attempt.startBefore}.
  */
 public final class GrantHolder {
-    /** How many upstreams of a pool a node uses at most; with fewer in the pool it uses all. */
+    /** The maximum number of upstreams of a pool that a node uses; it uses all of a smaller pool. */
     public static final int POOL_FAN_OUT = 16;
 
-    /** The fewest upstreams of a pool that a node with any demand uses, so that it has a choice. */
-    static final int SMALLEST_FAN_OUT = 4;
+    /** The minimum number of upstreams of a pool that a node with any demand uses, so that it has a choice. */
+    static final int MIN_FAN_OUT = 4;
 
-    /** How long an owner may leave asks unanswered before a warm upstream is used on a fixed share. */
-    public static final Duration OWNER_SILENCE = Duration.ofMillis(1500);
+    /** How long an owner may leave grant requests unanswered before a warm upstream is used on a fixed share. */
+    public static final Duration OWNER_TIMEOUT = Duration.ofMillis(1500);
 
-    private static final Duration ASK_PERIOD = Duration.ofMillis(500);
-    private static final Duration COLD_ASK_PERIOD = Duration.ofMillis(100);
-    private static final Duration SHORTEST_ASK_PERIOD = Duration.ofMillis(50);
-    private static final Duration FIXED_SHARE_START = Duration.ofMillis(500);
-    private static final Duration LONGEST_TICK = Duration.ofMillis(500);
-    private static final Duration FORMER_OWNER_REMEMBERED = Duration.ofMinutes(10);
+    private static final Duration ASK_INTERVAL = Duration.ofMillis(500);
+    private static final Duration COLD_ASK_INTERVAL = Duration.ofMillis(100);
+    private static final Duration MIN_ASK_INTERVAL = Duration.ofMillis(50);
+    private static final Duration FIXED_SHARE_START_WINDOW = Duration.ofMillis(500);
+    /** A longer gap between two ticks means that this node was paused. */
+    private static final Duration MAX_TICK_GAP = Duration.ofMillis(500);
+
+    private static final Duration FORMER_OWNER_RETENTION = Duration.ofMinutes(10);
     private static final int WARM_HEADROOM = 1;
 
     private final Rendezvous rendezvous = new Rendezvous();
     private final Ownership ownership;
     private final Configuration configuration;
     private final GrantOwner localOwner;
-    private final Map<VmId, HeldUpstream> held = new TreeMap<>();
+    private final Map<VmId, UpstreamGrant> grants = new TreeMap<>();
     private final Set<VmId> listed = new HashSet<>();
     private final Map<PoolId, List<VmId>> ranked = new TreeMap<>();
-    private final Map<VmId, Integer> share = new HashMap<>();
-    private final Map<PoolId, Integer> wanted = new HashMap<>();
-    private final Set<PoolId> newlyWanted = new HashSet<>();
+    private final Map<VmId, Integer> demandByUpstream = new HashMap<>();
+    private final Map<PoolId, Integer> demandByPool = new HashMap<>();
+    private final Set<PoolId> poolsWithHigherDemand = new HashSet<>();
     private final Map<NodeId, OwnerLink> links = new TreeMap<>();
     private Instant lastTick = Instant.MIN;
 
     /**
-     * Starts a holder that knows no upstream yet.
+     * Creates a holder that knows no upstreams yet.
      *
-     * @param localOwner gives out the allowances of the upstreams that this node itself owns
+     * @param localOwner grants the allowances of the upstreams that this node itself owns
      */
     public GrantHolder(Ownership ownership, Configuration configuration, GrantOwner localOwner) {
         this.ownership = ownership;
@@ -84,7 +86,7 @@
         this.localOwner = localOwner;
     }
 
-    /** Takes in the platform's list. */
+    /** Applies the VM list of the platform. */
     public void onVmList(List<Vm> vms, Instant now) {
         listed.clear();
         Map<PoolId, List<Vm>> pools = new TreeMap<>();
@@ -93,7 +95,7 @@
                 continue;
             }
             listed.add(vm.id());
-            held.computeIfAbsent(vm.id(), id -> new HeldUpstream(vm)).vm(vm);
+            grants.computeIfAbsent(vm.id(), id -> new UpstreamGrant(vm)).vm(vm);
             pools.computeIfAbsent(vm.pool().get(), id -> new ArrayList<>()).add(vm);
         }
         ranked.clear();
@@ -106,60 +108,63 @@
         }
     }
 
-    /** Says how many requests this node would have in flight at a pool's upstreams, all together. */
+    /** Sets how many requests this node would like to have in flight at the upstreams of a pool, in total. */
     public void want(PoolId pool, int count) {
-        int before = wanted.getOrDefault(pool, 0);
-        wanted.put(pool, count);
+        int before = demandByPool.getOrDefault(pool, 0);
+        demandByPool.put(pool, count);
         if (count > before) {
-            newlyWanted.add(pool);
+            poolsWithHigherDemand.add(pool);
         }
     }
 
-    /** Asks the owners, each at most every 50 ms and, of what is wanted or held, at least every 500 ms. */
+    /**
+     * Sends grant requests to the owners, to each at most every 50 ms and, for upstreams that are wanted or held, at
+     * least every 500 ms.
+     */
     public void onTick(Instant now, Effects effects) {
-        noticePause(now);
-        takeUnasked();
-        shareOut();
-        held.values()
+        detectPause(now);
+        applyLocalWithdrawals();
+        distributeDemand();
+        grants.values()
                 .removeIf(each -> !listed.contains(each.vm().id()) && each.inUse(now) == 0 && each.allowance(now) == 0);
         Map<NodeId, List<GrantDemand>> demands = new TreeMap<>();
         Set<NodeId> waitingForCold = new HashSet<>();
-        for (HeldUpstream upstream : held.values()) {
-            collect(upstream, demands, waitingForCold, now);
+        for (UpstreamGrant upstream : grants.values()) {
+            collectDemands(upstream, demands, waitingForCold, now);
         }
-        newlyWanted.clear();
+        poolsWithHigherDemand.clear();
         for (Map.Entry<NodeId, OwnerLink> each : links.entrySet()) {
             OwnerLink link = each.getValue();
-            List<GrantDemand> asked = demands.getOrDefault(each.getKey(), List.of());
-            if (asked.isEmpty() && !link.isAcknowledgementDue()) {
+            List<GrantDemand> ownerDemands = demands.getOrDefault(each.getKey(), List.of());
+            if (ownerDemands.isEmpty() && !link.isAcknowledgementDue()) {
                 continue;
             }
-            if (link.due(period(link, waitingForCold.contains(each.getKey())), now)) {
-                ask(each.getKey(), link, asked, now, effects);
+            if (link.due(askInterval(link, waitingForCold.contains(each.getKey())), now)) {
+                sendAsk(each.getKey(), link, ownerDemands, now, effects);
             }
         }
-        forgetFormerOwners(now);
+        removeFormerOwners(now);
     }
 
-    /** A pause of this node itself is no silence of the owners. */
-    private void noticePause(Instant now) {
-        if (paused(now)) {
+    /** Resets the silence of all owners after this node itself was paused: owners could not be heard meanwhile. */
+    private void detectPause(Instant now) {
+        if (wasPaused(now)) {
             for (OwnerLink link : links.values()) {
-                link.forgetSilence();
+                link.resetSilence();
             }
         }
         lastTick = now;
     }
 
-    private boolean paused(Instant now) {
-        return !lastTick.equals(Instant.MIN) && now.isAfter(lastTick.plus(LONGEST_TICK));
+    private boolean wasPaused(Instant now) {
+        return !lastTick.equals(Instant.MIN) && now.isAfter(lastTick.plus(MAX_TICK_GAP));
     }
 
-    /** Spreads the demand for each pool over the upstreams that this node uses. */
-    private void shareOut() {
-        share.clear();
+    /** Distributes the demand for each pool over the upstreams that this node uses. */
+    private void distributeDemand() {
+        demandByUpstream.clear();
         for (Map.Entry<PoolId, List<VmId>> pool : ranked.entrySet()) {
-            int count = wanted.getOrDefault(pool.getKey(), 0);
+            int count = demandByPool.getOrDefault(pool.getKey(), 0);
             if (count == 0) {
                 continue;
             }
@@ -168,55 +173,55 @@
                 if (used.size() == fanOut(count)) {
                     break;
                 }
-                if (open(held.get(id))) {
+                if (isUsable(grants.get(id))) {
                     used.add(id);
                 }
             }
             for (VmId id : used) {
-                share.put(id, Math.ceilDiv(count, used.size()));
+                demandByUpstream.put(id, Math.ceilDiv(count, used.size()));
             }
         }
     }
 
-    /** Few attempts are spread over few upstreams: each upstream used costs messages to its owner. */
+    /** A small demand is spread over few upstreams, since each upstream used costs messages to its owner. */
     private static int fanOut(int count) {
-        return Math.min(POOL_FAN_OUT, Math.max(SMALLEST_FAN_OUT, count));
+        return Math.min(POOL_FAN_OUT, Math.max(MIN_FAN_OUT, count));
     }
 
-    private void collect(
-            HeldUpstream upstream, Map<NodeId, List<GrantDemand>> demands, Set<NodeId> waitingForCold, Instant now) {
+    private void collectDemands(
+            UpstreamGrant upstream, Map<NodeId, List<GrantDemand>> demands, Set<NodeId> waitingForCold, Instant now) {
         Optional<NodeId> owner = ownership.ownerOf(upstream.vm());
-        for (NodeId former : upstream.countedBy(now)) {
+        for (NodeId former : upstream.accountingOwners(now)) {
             if (!owner.equals(Optional.of(former))) {
                 demands.computeIfAbsent(former, id -> new ArrayList<>()).add(upstream.demand(0, now));
             }
         }
         if (owner.isEmpty()) {
-            upstream.unserved(now, now);
+            upstream.markUngranted(now, now);
             return;
         }
-        int wantedHere = wantedAt(upstream, now);
-        if (wantedHere == 0 && upstream.inUse(now) == 0 && !upstream.holds(owner.get())) {
+        int demand = demandAt(upstream, now);
+        if (demand == 0 && upstream.inUse(now) == 0 && !upstream.isGrantedBy(owner.get())) {
             return;
         }
         OwnerLink link = links.computeIfAbsent(owner.get(), id -> new OwnerLink());
-        if (link.silent(OWNER_SILENCE, now)) {
-            upstream.unserved(link.silentSince().get(), now);
+        if (link.silent(OWNER_TIMEOUT, now)) {
+            upstream.markUngranted(link.unansweredSince().get(), now);
         }
-        demands.computeIfAbsent(owner.get(), id -> new ArrayList<>()).add(upstream.demand(wantedHere, now));
-        if (wantedHere <= upstream.allowance(now)) {
+        demands.computeIfAbsent(owner.get(), id -> new ArrayList<>()).add(upstream.demand(demand, now));
+        if (demand <= upstream.allowance(now)) {
             return;
         }
-        if (newlyWanted.contains(upstream.vm().pool().get())) {
-            link.hurry();
+        if (poolsWithHigherDemand.contains(upstream.vm().pool().get())) {
+            link.expedite();
         }
         if (upstream.cold()) {
             waitingForCold.add(owner.get());
         }
     }
 
-    private int wantedAt(HeldUpstream upstream, Instant now) {
-        int count = share.getOrDefault(upstream.vm().id(), 0);
+    private int demandAt(UpstreamGrant upstream, Instant now) {
+        int count = demandByUpstream.getOrDefault(upstream.vm().id(), 0);
         if (count == 0) {
             return 0;
         }
@@ -224,35 +229,35 @@
         return Math.max(count + headroom, upstream.inUse(now));
     }
 
-    private static Duration period(OwnerLink link, boolean waitingForCold) {
-        if (link.isHurried() || link.isAcknowledgementDue()) {
-            return SHORTEST_ASK_PERIOD;
+    private static Duration askInterval(OwnerLink link, boolean waitingForCold) {
+        if (link.isExpedited() || link.isAcknowledgementDue()) {
+            return MIN_ASK_INTERVAL;
         }
-        return waitingForCold ? COLD_ASK_PERIOD : ASK_PERIOD;
+        return waitingForCold ? COLD_ASK_INTERVAL : ASK_INTERVAL;
     }
 
-    private void ask(NodeId owner, OwnerLink link, List<GrantDemand> demands, Instant now, Effects effects) {
+    private void sendAsk(NodeId owner, OwnerLink link, List<GrantDemand> demands, Instant now, Effects effects) {
         long applied = link.applied();
-        GrantAsk ask = new GrantAsk(link.ask(now), applied, demands);
+        GrantAsk ask = new GrantAsk(link.onAsk(now), applied, demands);
         if (!owner.equals(ownership.self())) {
             effects.add(new Effect.SendToPeer(owner.vm(), ask));
             return;
         }
         Optional<GrantReply> reply = localOwner.answer(owner, ask, now, effects);
-        takeUnasked();
+        applyLocalWithdrawals();
         if (reply.isPresent()) {
             onReply(owner, reply.get(), now, effects);
         }
     }
 
-    private void forgetFormerOwners(Instant now) {
+    private void removeFormerOwners(Instant now) {
         Collection<NodeId> members = ownership.members();
         links.entrySet()
                 .removeIf(each ->
-                        !members.contains(each.getKey()) && each.getValue().due(FORMER_OWNER_REMEMBERED, now));
+                        !members.contains(each.getKey()) && each.getValue().due(FORMER_OWNER_RETENTION, now));
     }
 
-    /** Takes in what an owner offers; old, doubled and foreign replies change nothing. */
+    /** Applies the offers of an owner. Outdated, duplicate and unexpected replies are ignored. */
     public void onReply(NodeId owner, GrantReply reply, Instant now, Effects effects) {
         if (reply.sequence() == 0) {
             withdraw(owner, reply);
@@ -262,27 +267,28 @@
         if (link == null) {
             return;
         }
-        Optional<Instant> sent = link.reply(reply.sequence());
+        Optional<Instant> sent = link.onReply(reply.sequence());
         if (sent.isEmpty()) {
             return;
         }
-        boolean less = false;
+        boolean reduced = false;
         Set<VmId> offered = new HashSet<>();
         for (GrantOffer offer : reply.offers()) {
-            HeldUpstream upstream = held.get(offer.upstream());
+            UpstreamGrant upstream = grants.get(offer.upstream());
             if (upstream == null || !ownership.ownerOf(upstream.vm()).equals(Optional.of(owner))) {
                 continue;
             }
             offered.add(offer.upstream());
-            less |= upstream.apply(offer, owner, sent.get(), now);
+            reduced |= upstream.apply(offer, owner, sent.get(), now);
         }
-        // From here on the next ask acknowledges this reply, which says that nothing older of this owner is acted on.
-        for (HeldUpstream upstream : held.values()) {
+        // The next grant request acknowledges this reply, and with it that this node no longer acts on older replies of
+        // the owner.
+        for (UpstreamGrant upstream : grants.values()) {
             if (!offered.contains(upstream.vm().id())) {
-                less |= upstream.drop(owner);
+                reduced |= upstream.release(owner);
             }
         }
-        if (less) {
+        if (reduced) {
             link.acknowledgementDue();
         }
     }
@@ -290,8 +296,8 @@
     private void withdraw(NodeId owner, GrantReply reply) {
         OwnerLink link = links.get(owner);
         for (GrantOffer offer : reply.offers()) {
-            HeldUpstream upstream = held.get(offer.upstream());
-            if (upstream == null || !upstream.holds(owner)) {
+            UpstreamGrant upstream = grants.get(offer.upstream());
+            if (upstream == null || !upstream.isGrantedBy(owner)) {
                 continue;
             }
             upstream.withdraw(offer);
@@ -301,33 +307,34 @@
         }
     }
 
-    private void takeUnasked() {
-        for (GrantReply reply : localOwner.takeUnaskedForSelf()) {
+    private void applyLocalWithdrawals() {
+        for (GrantReply reply : localOwner.takeLocalWithdrawals()) {
             withdraw(ownership.self(), reply);
         }
     }
 
-    /** How many more attempts may start at an upstream now. */
+    /** The number of further attempts that may start at an upstream now. */
     public int available(VmId upstream, Instant now) {
-        takeUnasked();
-        HeldUpstream which = held.get(upstream);
-        if (which == null || !open(which)) {
+        applyLocalWithdrawals();
+        UpstreamGrant grant = grants.get(upstream);
+        if (grant == null || !isUsable(grant)) {
             return 0;
         }
-        return Math.max(0, most(which, now) - which.inUse(now));
+        return Math.max(0, currentAllowance(grant, now) - grant.inUse(now));
     }
 
-    private int most(HeldUpstream upstream, Instant now) {
+    private int currentAllowance(UpstreamGrant upstream, Instant now) {
         int allowance = upstream.allowance(now);
         return allowance > 0 ? allowance : fixedShare(upstream, now);
     }
 
     /**
-     * This node's part of a warm upstream that nobody grants. The failure: its owner is dead, or cannot be heard, and
-     * requests would wait for a new one at an upstream that has room. A cold upstream gets nothing this way.
+     * This node's fixed share of a warm upstream for which no owner grants allowances. Without it, requests would wait
+     * for a new owner while the upstream has capacity, because the current owner is dead or unreachable. A cold
+     * upstream has no fixed share.
      */
-    private int fixedShare(HeldUpstream upstream, Instant now) {
-        if (paused(now) || !upstream.fallsBack(now)) {
+    private int fixedShare(UpstreamGrant upstream, Instant now) {
+        if (wasPaused(now) || !upstream.mayUseFixedShare(now)) {
             return 0;
         }
         int members = Math.max(1, ownership.members().size());
@@ -340,65 +347,65 @@
         if (available(upstream, now) == 0) {
             return false;
         }
-        held.get(upstream).started();
+        grants.get(upstream).started();
         return true;
     }
 
-    /** The time from which a start taken now may not be carried out any more. */
+    /** The time by which an attempt that is started now must have been sent; later it may not be sent any more. */
     public Instant startBefore(VmId upstream, Instant now) {
-        HeldUpstream which = held.get(upstream);
-        if (which == null) {
+        UpstreamGrant grant = grants.get(upstream);
+        if (grant == null) {
             return now;
         }
-        if (which.allowance(now) > 0) {
-            return which.expires();
+        if (grant.allowance(now) > 0) {
+            return grant.expires();
         }
-        return fixedShare(which, now) > 0 ? now.plus(FIXED_SHARE_START) : now;
+        return fixedShare(grant, now) > 0 ? now.plus(FIXED_SHARE_START_WINDOW) : now;
     }
 
-    /** Takes in the end of an attempt that was started at an upstream. */
+    /** Records the end of an attempt that was started at an upstream. */
     public void finished(VmId upstream, Finish finish, Instant now) {
-        HeldUpstream which = held.get(upstream);
-        if (which != null) {
-            which.finished(finish, now);
+        UpstreamGrant grant = grants.get(upstream);
+        if (grant != null) {
+            grant.finished(finish, now);
         }
     }
 
-    /** The newest load report that the owner has passed on. */
+    /** The latest load report that the owner has passed on. */
     public Optional<LoadReport> report(VmId upstream) {
-        return Optional.ofNullable(held.get(upstream)).flatMap(HeldUpstream::report);
+        return Optional.ofNullable(grants.get(upstream)).flatMap(UpstreamGrant::report);
     }
 
-    /** Whether an upstream is cold as far as this node knows; true for one that it knows nothing of. */
+    /** Whether an upstream is cold as far as this node knows; true for an unknown upstream. */
     public boolean cold(VmId upstream) {
-        HeldUpstream which = held.get(upstream);
-        return which == null || which.cold();
+        UpstreamGrant grant = grants.get(upstream);
+        return grant == null || grant.cold();
     }
 
-    /** How the grants of all upstreams stand, in the order of their names. */
+    /** The state of the grants of all upstreams, ordered by upstream id. */
     public List<GrantView> view(Instant now) {
         List<GrantView> views = new ArrayList<>();
-        for (VmId id : held.keySet()) {
+        for (VmId id : grants.keySet()) {
             views.add(view(id, now).get());
         }
         return views;
     }
 
-    /** How the grants of one upstream stand; empty if it is not listed. */
+    /** The state of the grants of one upstream; empty if the upstream is not known. */
     public Optional<GrantView> view(VmId upstream, Instant now) {
-        HeldUpstream which = held.get(upstream);
-        if (which == null) {
+        UpstreamGrant grant = grants.get(upstream);
+        if (grant == null) {
             return Optional.empty();
         }
-        int allowance = open(which) ? most(which, now) : 0;
-        boolean fixedShare = allowance > 0 && which.allowance(now) == 0;
-        Optional<NodeId> owner = ownership.ownerOf(which.vm());
-        GrantView seen =
-                new GrantView(upstream, owner, which.cold(), 0, Map.of(), allowance, fixedShare, which.inUse(now));
-        return Optional.of(localOwner.complete(seen, now));
+        int allowance = isUsable(grant) ? currentAllowance(grant, now) : 0;
+        boolean fixedShare = allowance > 0 && grant.allowance(now) == 0;
+        Optional<NodeId> owner = ownership.ownerOf(grant.vm());
+        GrantView holderView =
+                new GrantView(upstream, owner, grant.cold(), 0, Map.of(), allowance, fixedShare, grant.inUse(now));
+        return Optional.of(localOwner.withOwnerState(holderView, now));
     }
 
-    private boolean open(HeldUpstream upstream) {
+    private boolean isUsable(UpstreamGrant upstream) {
         boolean leaving =
                 upstream.vm().leaving() || !listed.contains(upstream.vm().id());
         return !leaving && configuration.inService(upstream.vm());
--- a/wagtaillug-core/src/main/java/org/wagtaillug/grant/GrantView.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/grant/GrantView.java
@@ -6,16 +6,18 @@
 import org.wagtaillug.id.VmId;
 
 /**
- * How the grants of one upstream stand, for administration.
+ * The state of the grants for one upstream, for the administration interface.
  *
- * @param upstream which
- * @param owner who gives out its allowances; empty while nobody does
- * @param cold whether it is held to be cold
- * @param limit the most that all nodes together may have in flight there; 0 at nodes that do not own it
- * @param reserves the most that each node may have in flight there; empty at nodes that do not own it
- * @param allowance the most that this node may have in flight there now
- * @param fixedShare whether that allowance is this node's fixed share of a warm upstream, because no owner answers
- * @param inUse how many this node has in flight there
+ * @param upstream the upstream
+ * @param owner the node that grants its allowances; empty while no node does
+ * @param cold whether the upstream is considered cold
+ * @param limit the maximum number of requests that all nodes together may have in flight there; 0 at nodes that do not
+ *      own it
+ * @param reserves the maximum number of requests that each node may have in flight there; empty at nodes that do not
+ *      own it
+ * @param allowance the maximum number of requests that this node may have in flight there now
+ * @param fixedShare whether that allowance is this node's fixed share of a warm upstream, used because no owner answers
+ * @param inUse the number of requests that this node has in flight there
  */
 public record GrantView(
         VmId upstream,
--- a/wagtaillug-core/src/main/java/org/wagtaillug/grant/HolderAccount.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/grant/HolderAccount.java
@@ -9,15 +9,16 @@
 import org.wagtaillug.message.PeerMessage.GrantDemand;
 
 /**
- * What one holder may have in flight at one upstream, as its owner can be sure of it.
+ * The owner's upper bound on the requests that one holder may have in flight at one upstream.
  *
- * <p>A holder starts nothing above the allowance that it acts on. So what it has in flight after the sending of an ask is
- * at most the greatest of what that ask reported and of every allowance that it acts on from then on: the one that the
- * ask acknowledged, and all later ones. Older ones are dropped on that acknowledgement alone, never because an ask
- * reports little in use: that ask may have been under way while the holder went on starting.
+ * <p>A holder starts nothing above the allowance that it acts on. So what it has in flight after sending a grant
+ * request is at most the maximum of the number that this request reported and of every allowance that the holder acts
+ * on from then on: the one that the request acknowledged, and all later ones. Older allowances are dropped only on that
+ * acknowledgement, never because a request reports little in use: that request may have been in transit while the
+ * holder started more attempts.
  */
 final class HolderAccount {
-    private final List<Issued> issued = new ArrayList<>();
+    private final List<IssuedAllowance> issued = new ArrayList<>();
     private int inUse;
     private Instant inUseUntil = Instant.MIN;
     private int wanted;
@@ -30,20 +31,20 @@
     private Instant turnEnds = Instant.MIN;
 
     /**
-     * An allowance that was sent.
+     * An allowance that was sent to the holder.
      *
-     * @param sequence of the ask that it answered
-     * @param allowed how many
-     * @param expires the end of its lifetime by the owner's clock, later than by the holder's
+     * @param sequence the sequence number of the grant request that it answered
+     * @param allowed the number of requests allowed
+     * @param expires the end of its lifetime by the clock of the owner, later than by that of the holder
      */
-    private record Issued(long sequence, int allowed, Instant expires) {
-        /** When the last request that was started under it has ended even if nothing is ever heard of it. */
-        Instant settled() {
+    private record IssuedAllowance(long sequence, int allowed, Instant expires) {
+        /** When the last request started under this allowance has ended, even if nothing is ever heard of it. */
+        Instant attemptsEndedAt() {
             return expires.plus(GrantOwner.LONGEST_ATTEMPT);
         }
     }
 
-    /** Takes in an ask: drops what it acknowledges as replaced and notes what it reports. */
+    /** Applies a grant request: drops the allowances that it acknowledges as replaced, and records what it reports. */
     void onAsk(long applied, Optional<GrantDemand> demand, Instant now) {
         issued.removeIf(each -> each.sequence() < applied);
         inUse = Math.max(0, demand.map(GrantDemand::inUse).orElse(0));
@@ -58,69 +59,71 @@
     }
 
     /**
-     * How many successes a demand adds to what was counted before.
+     * The number of successes that a demand adds to those counted before.
      *
-     * @param startedAt the start of the upstream that successes count for
-     * @param history whether successes from before the first ask count
+     * @param startedAt the start of the upstream process for which successes count
+     * @param countHistory whether successes from before the first grant request count
      */
-    long newSuccesses(GrantDemand demand, Instant startedAt, boolean history) {
+    long newSuccesses(GrantDemand demand, Instant startedAt, boolean countHistory) {
         if (!demand.startedAt().equals(Optional.of(startedAt))) {
             return 0;
         }
         boolean sameStart = countedStart.equals(demand.startedAt());
         boolean continued = sameStart && demand.succeeded() >= lastSucceeded;
-        boolean unknownBefore = countedStart.isEmpty() && !history;
-        long before = continued ? lastSucceeded : 0;
+        boolean ignoreHistory = countedStart.isEmpty() && !countHistory;
+        long counted = continued ? lastSucceeded : 0;
         countedStart = demand.startedAt();
         lastSucceeded = demand.succeeded();
-        if (unknownBefore || discountNext && sameStart) {
+        if (ignoreHistory || discountNext && sameStart) {
             discountNext = false;
             return 0;
         }
         discountNext = false;
-        return demand.succeeded() - before;
+        return demand.succeeded() - counted;
     }
 
-    /** What the holder has counted until now, reported or not, is no evidence. */
+    /** Excludes what the holder has counted so far, reported or not, from the evidence. */
     void discountHistory() {
         discountNext = true;
     }
 
-    /** All that the holder has counted until now is known, so what it adds is new. */
-    void countOn() {
+    /** Counts further successes again: everything that the holder has counted so far has been reported. */
+    void resumeCounting() {
         discountNext = false;
     }
 
-    /** Notes an allowance that is being sent. */
+    /** Records an allowance that is being sent. */
     void issue(long sequence, int allowed, Duration lifetime, Instant now) {
         if (allowed > 0) {
             withdrawn = false;
-            issued.add(new Issued(sequence, allowed, now.plus(lifetime).plus(Timing.DRIFT)));
+            issued.add(new IssuedAllowance(sequence, allowed, now.plus(lifetime).plus(Timing.DRIFT)));
         }
     }
 
-    /** Drops what can have no effect any more. */
+    /** Drops allowances that can no longer have any effect. */
     void expire(Instant now) {
-        issued.removeIf(each -> !now.isBefore(each.settled()));
+        issued.removeIf(each -> !now.isBefore(each.attemptsEndedAt()));
     }
 
-    /** The most that the holder may have in flight. */
+    /** The maximum number of requests that the holder may have in flight. */
     int reserve(Instant now) {
-        int most = now.isBefore(inUseUntil) ? inUse : 0;
-        for (Issued each : issued) {
-            if (now.isBefore(each.settled())) {
-                most = Math.max(most, each.allowed());
+        int maximum = now.isBefore(inUseUntil) ? inUse : 0;
+        for (IssuedAllowance each : issued) {
+            if (now.isBefore(each.attemptsEndedAt())) {
+                maximum = Math.max(maximum, each.allowed());
             }
         }
-        return most;
+        return maximum;
     }
 
-    /** Whether the holder may still start something and has to be told to stop; at most once for each allowance. */
+    /**
+     * Whether the holder may still start something and has to be told to stop; true at most once for each allowance.
+     */
     boolean withdraw(Instant now) {
         if (withdrawn) {
             return false;
         }
-        for (Issued each : issued) {
+        for (IssuedAllowance each : issued) {
             if (now.isBefore(each.expires())) {
                 withdrawn = true;
                 return true;
@@ -129,28 +132,28 @@
         return false;
     }
 
-    /** Whether the holder wants something and has been heard lately. */
+    /** Whether the holder has demand and has been heard from recently. */
     boolean active(Instant now) {
-        return wanted > 0 && now.isBefore(lastAsk.plus(GrantOwner.ACTIVE));
+        return wanted > 0 && now.isBefore(lastAsk.plus(GrantOwner.DEMAND_LIFETIME));
     }
 
     int wanted() {
         return wanted;
     }
 
-    /** Since when the holder waits for a turn; {@link Instant#MAX} if it wants none. */
+    /** Since when the holder has been waiting for a turn; {@link Instant#MAX} if it has no demand. */
     Instant waitingSince() {
         return waitingSince;
     }
 
-    /** When the turn that the holder has or had last ends. */
+    /** When the current or last turn of the holder ends. */
     Instant turnEnds() {
         return turnEnds;
     }
 
-    /** Begins a turn; whoever begins to wait before its end comes before this holder's next one. */
+    /** Begins a turn. Any holder that begins to wait before the turn ends comes before the next turn of this holder. */
     void beginTurn(Instant now) {
-        turnEnds = now.plus(GrantOwner.COLD_GRANT);
+        turnEnds = now.plus(GrantOwner.COLD_TURN);
         waitingSince = turnEnds;
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/grant/OwnerLink.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/grant/OwnerLink.java
@@ -5,65 +5,69 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** What a holder has asked of one owner, and what was answered. */
+/** The grant requests that a holder has sent to one owner, and the state of the replies. */
 final class OwnerLink {
-    private static final int MOST_UNANSWERED = 256;
+    private static final int MAX_UNANSWERED = 256;
 
     private final TreeMap<Long, Instant> unanswered = new TreeMap<>();
     private long lastSequence;
     private long applied;
     private Instant lastAsk = Instant.MIN;
-    private Optional<Instant> silentSince = Optional.empty();
+    private Optional<Instant> unansweredSince = Optional.empty();
     private boolean acknowledgementDue;
-    private boolean hurried;
+    private boolean expedited;
 
-    /** Numbers an ask that is being sent. */
-    long ask(Instant now) {
+    /** Records a grant request that is being sent and returns its sequence number. */
+    long onAsk(Instant now) {
         lastSequence++;
         unanswered.put(lastSequence, now);
-        if (unanswered.size() > MOST_UNANSWERED) {
+        if (unanswered.size() > MAX_UNANSWERED) {
             unanswered.pollFirstEntry();
         }
-        boolean resumed = due(GrantHolder.OWNER_SILENCE, now);
+        boolean resumed = due(GrantHolder.OWNER_TIMEOUT, now);
         lastAsk = now;
-        if (silentSince.isEmpty() || resumed) {
-            silentSince = Optional.of(now);
+        if (unansweredSince.isEmpty() || resumed) {
+            unansweredSince = Optional.of(now);
         }
         acknowledgementDue = false;
-        hurried = false;
+        expedited = false;
         return lastSequence;
     }
 
-    /** Takes in a reply; gives when the ask that it answers was sent, or nothing if the reply is old, doubled or foreign. */
-    Optional<Instant> reply(long sequence) {
+    /**
+     * Records a reply. Returns when the request that it answers was sent, or empty if the reply is outdated, a
+     * duplicate or unexpected.
+     */
+    Optional<Instant> onReply(long sequence) {
         Instant sent = unanswered.get(sequence);
         if (sent == null || sequence <= applied) {
             return Optional.empty();
         }
         applied = sequence;
         unanswered.headMap(sequence, true).clear();
-        silentSince = unanswered.isEmpty()
+        unansweredSince = unanswered.isEmpty()
                 ? Optional.empty()
                 : Optional.of(unanswered.firstEntry().getValue());
         return Optional.of(sent);
     }
 
-    /** The holder itself was paused: the time that passed says nothing of the owner. */
-    void forgetSilence() {
-        silentSince = Optional.empty();
+    /** Resets the silence of the owner after the holder itself was paused: the owner could not be heard meanwhile. */
+    void resetSilence() {
+        unansweredSince = Optional.empty();
     }
 
-    /** Whether asks have gone unanswered for a while. */
-    boolean silent(Duration longerThan, Instant now) {
-        return silentSince.isPresent() && !now.isBefore(silentSince.get().plus(longerThan));
+    /** Whether grant requests have been unanswered for at least this long. */
+    boolean silent(Duration timeout, Instant now) {
+        return unansweredSince.isPresent()
+                && !now.isBefore(unansweredSince.get().plus(timeout));
     }
 
-    /** Since when asks go unanswered. */
-    Optional<Instant> silentSince() {
-        return silentSince;
+    /** Since when grant requests have been unanswered. */
+    Optional<Instant> unansweredSince() {
+        return unansweredSince;
     }
 
-    /** Notes that the owner waits to hear that a smaller allowance has been taken in. */
+    /** Records that a reply lowered an allowance, and that the owner waits for the acknowledgement. */
     void acknowledgementDue() {
         acknowledgementDue = true;
     }
@@ -72,16 +76,16 @@
         return acknowledgementDue;
     }
 
-    /** Notes that something new is wanted of the owner. */
-    void hurry() {
-        hurried = true;
+    /** Records that the demand has risen, so that the next request is sent as early as possible. */
+    void expedite() {
+        expedited = true;
     }
 
-    boolean isHurried() {
-        return hurried;
+    boolean isExpedited() {
+        return expedited;
     }
 
-    /** Whether at least a period has passed since the last ask. */
+    /** Whether at least this long has passed since the last grant request. */
     boolean due(Duration period, Instant now) {
         return lastAsk.equals(Instant.MIN) || !now.isBefore(lastAsk.plus(period));
     }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/grant/UpstreamAccount.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/grant/UpstreamAccount.java
@@ -16,24 +16,24 @@
 import org.wagtaillug.message.PeerMessage.GrantDemand;
 import org.wagtaillug.message.PeerMessage.GrantOffer;
 
-/** All that an owner knows of one upstream: its limit, and what every holder may have in flight there. */
+/** What an owner knows of one upstream: its limit, and what every holder may have in flight there. */
 final class UpstreamAccount {
-    private static final int MISSING_REPORTS = 3;
-    private static final Duration REPORT_FRESH = Duration.ofMillis(1500);
-    private static final Duration LONGEST_REPORT_LAG = Duration.ofSeconds(3);
+    private static final int MAX_MISSED_REPORTS = 3;
+    private static final Duration MAX_REPORT_AGE = Duration.ofMillis(1500);
+    private static final Duration MAX_REPORT_LAG = Duration.ofSeconds(3);
 
     private final PoolId pool;
     private final Map<NodeId, HolderAccount> holders = new TreeMap<>();
     private Optional<LoadReport> report = Optional.empty();
-    private int missing;
+    private int missedReports;
     private long fencingNumber;
-    private boolean gained;
-    private Instant unknownUntil = Instant.MAX;
-    private Optional<Instant> firstReportSinceGain = Optional.empty();
+    private boolean granting;
+    private Instant inFlightUnknownUntil = Instant.MAX;
+    private Optional<Instant> firstReportSinceGranting = Optional.empty();
     private long successes;
-    private boolean historyCounts = true;
-    private Instant lastLoadAsk = Instant.MIN;
-    private Instant freshAt = Instant.MIN;
+    private boolean countHistory = true;
+    private Instant lastLoadRequest = Instant.MIN;
+    private Instant reportAskedAt = Instant.MIN;
 
     UpstreamAccount(PoolId pool) {
         this.pool = pool;
@@ -43,36 +43,36 @@
         return pool;
     }
 
-    /** Whether it is time to ask for a load report; notes that one is asked for if so. */
-    boolean askLoad(Instant now) {
-        if (now.isBefore(lastLoadAsk.plus(GrantOwner.LOAD_PERIOD))) {
+    /** Whether a load report is due to be requested; if so, records that it is requested. */
+    boolean loadRequestDue(Instant now) {
+        if (now.isBefore(lastLoadRequest.plus(GrantOwner.LOAD_INTERVAL))) {
             return false;
         }
-        lastLoadAsk = now;
+        lastLoadRequest = now;
         return true;
     }
 
     /**
-     * Notes that this node may grant under a fencing number.
+     * Records that this node may grant under a fencing number.
      *
-     * <p>A new owner's failure: the allowances of the owner before it have lapsed, yet requests started under them may
-     * still run, at holders that are dead or cannot be heard, and a cold upstream would get them on top of the new
-     * owner's grants. So while cold nothing is granted until the longest attempt has ended, or until the upstream itself
-     * reports that nothing runs.
+     * <p>When ownership changes, the allowances of the previous owner have expired, but requests started under them may
+     * still run, at holders that are dead or unreachable, and a cold upstream would get them on top of what the new
+     * owner grants. So while the upstream is cold, nothing is granted until the longest possible attempt has ended, or
+     * until the upstream itself reports that nothing is running.
      */
-    void mayGrant(long number, Instant now) {
-        if (gained && fencingNumber == number) {
+    void beginGranting(long newFencingNumber, Instant now) {
+        if (granting && fencingNumber == newFencingNumber) {
             return;
         }
-        gained = true;
-        fencingNumber = number;
-        unknownUntil = now.plus(GrantOwner.LONGEST_ATTEMPT);
-        firstReportSinceGain = Optional.empty();
+        granting = true;
+        fencingNumber = newFencingNumber;
+        inFlightUnknownUntil = now.plus(GrantOwner.LONGEST_ATTEMPT);
+        firstReportSinceGranting = Optional.empty();
     }
 
-    /** Takes in a load report; gives whether allowances have to be withdrawn because the upstream has started anew. */
+    /** Applies a load report. Returns whether allowances have to be withdrawn because the upstream has restarted. */
     boolean onReport(LoadReport newest, PoolContract contract, Instant now) {
-        missing = 0;
+        missedReports = 0;
         boolean restarted = report.isPresent() && !report.get().startedAt().equals(newest.startedAt());
         if (!restarted
                 && report.isPresent()
@@ -80,19 +80,19 @@
             return false;
         }
         report = Optional.of(newest);
-        freshAt = lastLoadAsk;
-        noteIdle(newest, restarted, now);
+        reportAskedAt = lastLoadRequest;
+        checkIdle(newest, restarted, now);
         if (!restarted) {
             return false;
         }
-        // A new process: whatever holders count since its start is evidence.
+        // This is a new process: whatever holders have counted since its start is evidence.
         successes = 0;
-        historyCounts = true;
-        return moreThanCold(contract, now);
+        countHistory = true;
+        return exceedsColdLimit(contract, now);
     }
 
-    /** Whether holders may have more in flight than the upstream bears while it is cold. */
-    private boolean moreThanCold(PoolContract contract, Instant now) {
+    /** Whether holders may have more requests in flight than the upstream can take while it is cold. */
+    private boolean exceedsColdLimit(PoolContract contract, Instant now) {
         int reserved = 0;
         for (HolderAccount each : holders.values()) {
             reserved += each.reserve(now);
@@ -100,48 +100,52 @@
         return reserved > contract.coldLimit();
     }
 
-    /** A report of no work ends the wait of a new owner once it describes a moment after that owner's beginning. */
-    private void noteIdle(LoadReport newest, boolean restarted, Instant now) {
-        if (!gained) {
+    /**
+     * A report of an idle upstream ends the wait of a new owner once it describes a moment after the ownership began.
+     */
+    private void checkIdle(LoadReport newest, boolean restarted, Instant now) {
+        if (!granting) {
             return;
         }
-        if (firstReportSinceGain.isEmpty() || restarted) {
-            firstReportSinceGain = Optional.of(newest.reportedAt());
+        if (firstReportSinceGranting.isEmpty() || restarted) {
+            firstReportSinceGranting = Optional.of(newest.reportedAt());
             return;
         }
-        Instant vouching = firstReportSinceGain.get().plus(LONGEST_REPORT_LAG);
+        Instant trustedFrom = firstReportSinceGranting.get().plus(MAX_REPORT_LAG);
         boolean idle = newest.running() + newest.waiting() == 0;
-        if (idle && !newest.reportedAt().isBefore(vouching) && now.isBefore(unknownUntil)) {
-            unknownUntil = now;
+        if (idle && !newest.reportedAt().isBefore(trustedFrom) && now.isBefore(inFlightUnknownUntil)) {
+            inFlightUnknownUntil = now;
         }
     }
 
-    /** Takes in that a report did not come; gives whether allowances have to be withdrawn. */
+    /** Records that a load report did not arrive. Returns whether allowances have to be withdrawn. */
     boolean onMissing(PoolContract contract, Instant now) {
-        missing++;
-        if (missing < MISSING_REPORTS) {
+        missedReports++;
+        if (missedReports < MAX_MISSED_REPORTS) {
             return false;
         }
-        turnCold();
-        return moreThanCold(contract, now);
+        markCold();
+        return exceedsColdLimit(contract, now);
     }
 
     /**
-     * The same process, or so it seems, has turned cold, or is out of service and comes back with the cold limit, so that
-     * not all return to it at once: what holders have counted so far is no evidence any more.
+     * Marks the upstream as cold without a known restart, because of failures or missing reports, or because it is out
+     * of service and has to come back with the cold limit, so that not all nodes return to it at once. What holders
+     * have counted so far is no longer evidence.
      */
-    void turnCold() {
+    void markCold() {
         successes = 0;
-        historyCounts = false;
+        countHistory = false;
         for (HolderAccount each : holders.values()) {
             each.discountHistory();
         }
     }
 
     /**
-     * Takes in what a holder says of this upstream, or that it has nothing to say of it.
+     * Applies the grant request of a holder.
      *
-     * @return whether allowances have to be withdrawn because it failed
+     * @param demand what the request says of this upstream; empty if it does not name the upstream
+     * @return whether allowances have to be withdrawn because an attempt at the upstream failed
      */
     boolean onAsk(NodeId holder, long applied, Optional<GrantDemand> demand, PoolContract contract, Instant now) {
         if (demand.isEmpty() && !holders.containsKey(holder)) {
@@ -153,51 +157,54 @@
             return false;
         }
         if (report.isPresent()) {
-            successes += account.newSuccesses(demand.get(), report.get().startedAt(), historyCounts);
+            successes += account.newSuccesses(demand.get(), report.get().startedAt(), countHistory);
         }
         if (!demand.get().failed()) {
             return false;
         }
-        turnCold();
-        account.countOn();
-        return moreThanCold(contract, now);
+        markCold();
+        account.resumeCounting();
+        return exceedsColdLimit(contract, now);
     }
 
     /**
-     * Whether the upstream has yet to show that it bears more than its cold limit.
+     * Whether the upstream has yet to show that it can take more than its cold limit.
      *
-     * <p>An owner that pauses misses a restart, and on waking finds asks with enough successes from before it. So what it
-     * knows counts for a short time only, from the sending of the question that the last report answered: the answer
-     * itself may have waited for the owner to wake.
+     * <p>An owner that was paused may miss a restart, and on waking finds grant requests with enough successes from
+     * before it. So its knowledge is valid for a short time only, counted from when the last answered load request was
+     * sent: the answer itself may have waited while the owner was paused.
      */
     boolean cold(PoolContract contract, Instant now) {
-        boolean stale = now.isAfter(freshAt.plus(REPORT_FRESH));
-        return successes < contract.warmAfter() || stale || missing >= MISSING_REPORTS;
+        boolean stale = now.isAfter(reportAskedAt.plus(MAX_REPORT_AGE));
+        return successes < contract.warmAfter() || stale || missedReports >= MAX_MISSED_REPORTS;
     }
 
-    /** The most that may be in flight: doubles after the warming, and again after as many successes as it then is. */
+    /**
+     * The maximum number of requests in flight. It doubles when the upstream becomes warm, and again after each further
+     * number of successes equal to the new limit.
+     */
     int limit(PoolContract contract, Instant now) {
         int limit = contract.coldLimit();
         if (cold(contract, now)) {
             return limit;
         }
-        int most = Math.max(contract.coldLimit(), contract.warmLimit());
+        int maximum = Math.max(contract.coldLimit(), contract.warmLimit());
         long needed = contract.warmAfter();
-        while (limit < most && successes >= needed) {
-            limit = Math.min(most, 2 * limit);
+        while (limit < maximum && successes >= needed) {
+            limit = Math.min(maximum, 2 * limit);
             needed += limit;
         }
         return limit;
     }
 
-    /** Answers a holder's ask for this upstream. The sum of reserves rises to the limit at most. */
+    /** Creates the offer to a holder for this upstream. The sum of all reserves never rises above the limit. */
     GrantOffer offer(GrantDemand demand, NodeId holder, long sequence, PoolContract contract, Instant now) {
         HolderAccount account = holders.get(holder);
         int limit = limit(contract, now);
         int free = Math.max(0, limit - reservedByOthers(holder, contract, now));
         List<HolderAccount> active = active(now);
         boolean turns = cold(contract, now) || limit < active.size();
-        int allowed = turns ? turn(account, active, free, now) : bundle(account, active, limit, free);
+        int allowed = turns ? turn(account, active, free, now) : warmShare(account, active, limit, free);
         Duration lifetime = Timing.LONGEST_GRANT;
         if (turns && allowed > 0) {
             lifetime = Duration.between(now, account.turnEnds());
@@ -206,14 +213,14 @@
         return new GrantOffer(demand.upstream(), allowed, lifetime, cold(contract, now), report);
     }
 
-    /** An offer of nothing. */
-    GrantOffer nothing(GrantDemand demand, Duration lifetime, PoolContract contract, Instant now) {
+    /** An offer of 0. */
+    GrantOffer emptyOffer(GrantDemand demand, Duration lifetime, PoolContract contract, Instant now) {
         return new GrantOffer(demand.upstream(), 0, lifetime, cold(contract, now), report);
     }
 
     private int reservedByOthers(NodeId holder, PoolContract contract, Instant now) {
         int reserved = 0;
-        if (cold(contract, now) && now.isBefore(unknownUntil)) {
+        if (cold(contract, now) && now.isBefore(inFlightUnknownUntil)) {
             reserved = contract.coldLimit();
         }
         for (Map.Entry<NodeId, HolderAccount> each : holders.entrySet()) {
@@ -235,8 +242,8 @@
         return active;
     }
 
-    /** A share of a warm upstream. */
-    private int bundle(HolderAccount account, List<HolderAccount> active, int limit, int free) {
+    /** The max-min fair share of a holder at a warm upstream. */
+    private int warmShare(HolderAccount account, List<HolderAccount> active, int limit, int free) {
         int[] wanted = new int[active.size()];
         for (int i = 0; i < wanted.length; i++) {
             wanted[i] = active.get(i).wanted();
@@ -248,7 +255,10 @@
         return Math.min(free, FairShare.split(limit, wanted)[index]);
     }
 
-    /** A short turn at an upstream that bears fewer than want it; who has waited longest comes first. */
+    /**
+     * A short turn at an upstream whose limit is lower than the number of holders that want it, or that is cold. The
+     * holder that has waited longest comes first.
+     */
     private int turn(HolderAccount account, List<HolderAccount> active, int free, Instant now) {
         if (account.wanted() == 0 || free == 0) {
             return 0;
@@ -259,36 +269,39 @@
         if (!now.isBefore(account.turnEnds())) {
             return 0;
         }
-        boolean alone = active.size() == 1;
-        return alone ? Math.min(account.wanted(), free) : 1;
+        boolean onlyHolder = active.size() == 1;
+        return onlyHolder ? Math.min(account.wanted(), free) : 1;
     }
 
     private static int waitingLonger(HolderAccount account, List<HolderAccount> active, Instant now) {
-        int longer = 0;
+        int count = 0;
         for (HolderAccount each : active) {
             boolean served = now.isBefore(each.turnEnds()) || each.reserve(now) > 0;
             if (each == account || served) {
                 continue;
             }
             if (each.waitingSince().isBefore(account.waitingSince())) {
-                longer++;
+                count++;
             }
         }
-        return longer;
+        return count;
     }
 
-    /** The holders that may still start something and have not been told to stop; notes that they are told now. */
+    /** The holders that may still start something and have not been told to stop; records that they are told now. */
     List<NodeId> withdraw(Instant now) {
-        List<NodeId> told = new ArrayList<>();
+        List<NodeId> notified = new ArrayList<>();
         for (Map.Entry<NodeId, HolderAccount> each : holders.entrySet()) {
             if (each.getValue().withdraw(now)) {
-                told.add(each.getKey());
+                notified.add(each.getKey());
             }
         }
-        return told;
+        return notified;
     }
 
-    /** Forgets what can have no effect any more. A member is kept, so that its successes are not counted twice. */
+    /**
+     * Drops what can no longer have any effect. The account of a member is kept, so that its successes are not counted
+     * twice.
+     */
     void expire(Collection<NodeId> members, Instant now) {
         for (HolderAccount each : holders.values()) {
             each.expire(now);
@@ -298,7 +311,7 @@
                         !members.contains(each.getKey()) && each.getValue().reserve(now) == 0);
     }
 
-    /** The most that each holder may have in flight. */
+    /** The maximum number of requests that each holder may have in flight. */
     Map<NodeId, Integer> reserves(Instant now) {
         Map<NodeId, Integer> reserves = new TreeMap<>();
         for (Map.Entry<NodeId, HolderAccount> each : holders.entrySet()) {
--- a/wagtaillug-core/src/main/java/org/wagtaillug/grant/package-info.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/grant/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The right to have requests in flight at an upstream: given out by the one node that owns the upstream, held and used by
- * all. The sum of what an owner's holders may have in flight never exceeds what the upstream bears while it is cold.
+ * Concurrency limits for upstreams. The one node that owns an upstream grants allowances, and every node starts
+ * requests only within the allowances it holds. The sum of what all holders may have in flight never exceeds the limit
+ * of the upstream, which is low while the upstream is cold.
  */
 package org.wagtaillug.grant;
--- a/wagtaillug-core/src/test/java/org/wagtaillug/grant/ColdUpstreamTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/grant/ColdUpstreamTest.java
@@ -10,32 +10,32 @@
     private static final int NEVER_WARM = 1_000_000;
 
     /**
-     * Guests get errors, and the engine restarts again and again: it has just started and bears one or two requests, and
-     * nine nodes each send it "just one". Here messages are lost, doubled, late and out of order, nodes pause past their
-     * grants, die and come back, the engine restarts, owners change, connections fall silent while the work goes on.
+     * Guards against a restart loop: an upstream that has just started can take one or two requests, and nine nodes
+     * each send it one. Messages are lost, duplicated, delayed and reordered, nodes pause past the end of their grants,
+     * crash and come back, the upstream restarts, ownership changes, and connections go silent while the work goes on.
      */
     @Test
     void neverExceedsTheColdLimit() {
-        int unheardRestarts = 0;
+        int earlyStarts = 0;
         long served = 0;
         for (long seed = 1; seed <= RUNS; seed++) {
             boolean warms = seed % 2 == 0;
             int coldLimit = 1 + (int) (seed / 2 % 3);
             FakeConfiguration configuration = new FakeConfiguration(coldLimit, warms ? 4 : NEVER_WARM, 8);
-            GrantWorld world = new GrantWorld(seed, configuration, 3 + (int) (seed % 7), true);
-            world.varyDemand(4);
-            world.scheduleFaults(SECONDS, seed % 3 == 0 ? 8 : 40);
-            world.runUntil(SECONDS * 1000L);
-            assertThat(world.violation).as("seed %d", seed).isEmpty();
-            unheardRestarts += world.unheardRestart;
-            served += world.served();
+            GrantSimulation simulation = new GrantSimulation(seed, configuration, 3 + (int) (seed % 7), true);
+            simulation.varyDemand(4);
+            simulation.scheduleFaults(SECONDS, seed % 3 == 0 ? 8 : 40);
+            simulation.runUntil(SECONDS * 1000L);
+            assertThat(simulation.violation).as("seed %d", seed).isEmpty();
+            earlyStarts += simulation.startsBeforeRestartNotice;
+            served += simulation.served();
         }
         System.getLogger("proof")
                 .log(
                         System.Logger.Level.INFO,
-                        "cold limits: {0} runs, 0 exceeded, {1} served; starts at a restarted warm upstream before the news: {2}",
+                        "cold limit: {0} runs, 0 violations, {1} served; starts after a restart unknown to the holder: {2}",
                         RUNS,
                         served,
-                        unheardRestarts);
+                        earlyStarts);
     }
 }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/grant/FairShareTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/grant/FairShareTest.java
@@ -16,25 +16,28 @@
         assertThat(FairShare.split(limit, demands)).isEqualTo(unitByUnit(limit, demands));
     }
 
-    /** Gives one unit at a time to whoever has least and wants more; among those to the largest demand, then the last. */
+    /**
+     * Gives one unit at a time to the unsatisfied demand with the smallest share; among equal shares to the largest
+     * demand, then to the last.
+     */
     private static int[] unitByUnit(int limit, int[] demands) {
         int[] shares = new int[demands.length];
         for (int unit = 0; unit < limit; unit++) {
-            int poorest = -1;
+            int smallest = -1;
             for (int i = 0; i < demands.length; i++) {
                 if (shares[i] == demands[i]) {
                     continue;
                 }
-                boolean poorer = poorest < 0 || shares[i] < shares[poorest];
-                boolean level = poorest >= 0 && shares[i] == shares[poorest];
-                if (poorer || level && demands[i] >= demands[poorest]) {
-                    poorest = i;
+                boolean isSmaller = smallest < 0 || shares[i] < shares[smallest];
+                boolean isEqual = smallest >= 0 && shares[i] == shares[smallest];
+                if (isSmaller || isEqual && demands[i] >= demands[smallest]) {
+                    smallest = i;
                 }
             }
-            if (poorest < 0) {
+            if (smallest < 0) {
                 break;
             }
-            shares[poorest]++;
+            shares[smallest]++;
         }
         return shares;
     }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/grant/FakeConfiguration.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/grant/FakeConfiguration.java
@@ -16,10 +16,10 @@
 import org.wagtaillug.id.VmId;
 import org.wagtaillug.membership.Vm;
 
-/** One contract for all pools, and what a test takes out of service. */
+/** A configuration with one contract for all pools and a set of VMs that are out of service. */
 public final class FakeConfiguration implements Configuration {
     public final List<PlacementContract> placements = new ArrayList<>();
-    public final Set<VmId> out = new HashSet<>();
+    public final Set<VmId> outOfService = new HashSet<>();
     private final PoolContract contract;
 
     public FakeConfiguration(int coldLimit, int warmAfter, int warmLimit) {
@@ -58,7 +58,7 @@
 
     @Override
     public boolean inService(Vm vm) {
-        return !out.contains(vm.id());
+        return !outOfService.contains(vm.id());
     }
 
     @Override
--- a/wagtaillug-core/src/test/java/org/wagtaillug/grant/FakeOwnership.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/grant/FakeOwnership.java
@@ -10,7 +10,7 @@
 import org.wagtaillug.membership.Ownership;
 import org.wagtaillug.membership.Vm;
 
-/** One node's view of the roster, set by hand: one owner of everything. */
+/** One node's view of the roster, set directly by a test, with one owner for all upstreams. */
 public class FakeOwnership implements Ownership {
     public final Set<NodeId> members = new TreeSet<>();
     public Optional<NodeId> owner = Optional.empty();
--- a/wagtaillug-core/src/test/java/org/wagtaillug/grant/GrantHolderTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/grant/GrantHolderTest.java
@@ -34,7 +34,7 @@
     private final Effects effects = new Effects();
 
     @BeforeEach
-    void begin() {
+    void setUp() {
         ownership.members.add(OWNER);
         ownership.members.add(NEXT_OWNER);
         ownership.owner = Optional.of(OWNER);
@@ -61,7 +61,10 @@
         holder.onReply(OWNER, new GrantReply(ask.sequence(), List.of(offer)), now, effects);
     }
 
-    /** Two nodes use one place: the owner was told that this one had given it up, then an old reply gave it back. */
+    /**
+     * Guards against two nodes using one slot: the owner has been told that this node released it, and then a delayed
+     * reply grants it again.
+     */
     @Test
     void ignoresRepliesThatComeLateOrTwice() {
         GrantAsk first = asked(OWNER, START);
@@ -79,22 +82,22 @@
     }
 
     /**
-     * The log is down and nobody may grant. A node that has just started, or that has not used a pool for a while, wants it:
-     * without the owner's word that it is warm the pool would be out of reach until the log is back.
+     * While the log is unavailable no node may grant. A node that has just started, or has not used a pool for a while,
+     * could not use the pool until the log is back unless it accepts from the owner that the upstream is warm.
      */
     @Test
-    void takesTheOwnersWordForWarmWhileNobodyMayGrant() {
-        Instant later = wordOfAnOwnerThatMayNotGrant(false);
+    void acceptsWarmStateFromOwnerWhileNobodyMayGrant() {
+        Instant later = receiveOffersOfOwnerThatMayNotGrant(false);
         assertThat(holder.available(ID, later)).isPositive();
     }
 
     @Test
     void getsNothingOfAColdUpstreamWhileNobodyMayGrant() {
-        Instant later = wordOfAnOwnerThatMayNotGrant(true);
+        Instant later = receiveOffersOfOwnerThatMayNotGrant(true);
         assertThat(holder.available(ID, later)).isZero();
     }
 
-    private Instant wordOfAnOwnerThatMayNotGrant(boolean cold) {
+    private Instant receiveOffersOfOwnerThatMayNotGrant(boolean cold) {
         GrantOffer offer = new GrantOffer(ID, 0, Duration.ZERO, cold, Optional.empty());
         Instant now = START;
         for (int round = 0; round < 4; round++) {
@@ -105,9 +108,11 @@
         return now;
     }
 
-    /** An owner that leaves an upstream out of a reply takes it for handed back once that reply is acknowledged. */
+    /**
+     * An owner that leaves an upstream out of a reply considers its allowance released once the reply is acknowledged.
+     */
     @Test
-    void givesUpWhatAReplyLeavesOut() {
+    void releasesWhatAReplyLeavesOut() {
         reply(asked(OWNER, START), 1, Duration.ofSeconds(2), START);
         assertThat(holder.available(ID, START)).isEqualTo(1);
         GrantAsk next = asked(OWNER, START.plusMillis(500));
@@ -115,19 +120,22 @@
         assertThat(holder.available(ID, START.plusMillis(510))).isZero();
     }
 
-    /** A node that slept past its grant sends one request more than the engine bears, for the place has a new user. */
+    /**
+     * Guards against exceeding the limit: a node that was paused past the end of its grant sends a request although the
+     * slot has been granted to another node.
+     */
     @Test
-    void startsNothingOnceTheGrantHasLapsed() {
-        Instant lapses = START.plusMillis(500);
+    void startsNothingOnceTheGrantHasExpired() {
+        Instant expires = START.plusMillis(500);
         reply(asked(OWNER, START), 1, Duration.ofMillis(500), START.plusMillis(300));
-        assertThat(holder.startBefore(ID, START.plusMillis(300))).isEqualTo(lapses);
-        assertThat(holder.available(ID, lapses.minusMillis(1))).isEqualTo(1);
-        assertThat(holder.start(ID, lapses)).isFalse();
+        assertThat(holder.startBefore(ID, START.plusMillis(300))).isEqualTo(expires);
+        assertThat(holder.available(ID, expires.minusMillis(1))).isEqualTo(1);
+        assertThat(holder.start(ID, expires)).isFalse();
     }
 
     /**
-     * The roster changes; this node hears of it before the old owner does, which goes on granting for a moment. Not told
-     * any more what runs here, it takes the place for free and gives it to a third node.
+     * The roster changes, and this node learns of it before the old owner, which keeps granting for a moment. If the
+     * old owner were no longer told what is in flight here, it would grant the slot to a third node.
      */
     @Test
     void tellsAFormerOwnerWhatRunsUnderItsGrant() {
@@ -144,9 +152,12 @@
         assertThat(asked(OWNER, START.plusMillis(700)).demands()).isEmpty();
     }
 
-    /** The engine goes on with a request whose connection fell silent, and gets the next one on top of it. */
+    /**
+     * The upstream continues to work on a request whose connection went silent; the next request must not be sent on
+     * top of it.
+     */
     @Test
-    void keepsThePlaceOfASilentRequest() {
+    void keepsTheSlotOfASilentRequest() {
         reply(asked(OWNER, START), 1, Duration.ofMillis(500), START);
         holder.start(ID, START);
         holder.finished(ID, Finish.FAILED, START);
@@ -160,11 +171,11 @@
     }
 
     @Test
-    void startsNothingAtAnUpstreamThatLeavesOrIsOut() {
+    void startsNothingAtAnUpstreamThatLeavesOrIsOutOfService() {
         reply(asked(OWNER, START), 1, Duration.ofMillis(500), START);
-        configuration.out.add(ID);
+        configuration.outOfService.add(ID);
         assertThat(holder.available(ID, START)).isZero();
-        configuration.out.clear();
+        configuration.outOfService.clear();
         assertThat(holder.available(ID, START)).isEqualTo(1);
         holder.onVmList(List.of(vm(true)), START);
         assertThat(holder.available(ID, START)).isZero();
@@ -173,14 +184,14 @@
     }
 
     @Test
-    void handsBackWhatItDoesNotWantAnyMore() {
+    void releasesWhatItNoLongerWants() {
         reply(asked(OWNER, START), 1, Duration.ofSeconds(2), START);
         holder.want(POOL, 0);
-        GrantAsk handBack = asked(OWNER, START.plusMillis(500));
-        assertThat(handBack.demands().get(0).wanted()).isZero();
-        reply(handBack, 0, Duration.ofSeconds(2), START.plusMillis(510));
+        GrantAsk release = asked(OWNER, START.plusMillis(500));
+        assertThat(release.demands().get(0).wanted()).isZero();
+        reply(release, 0, Duration.ofSeconds(2), START.plusMillis(510));
         GrantAsk acknowledgement = asked(OWNER, START.plusMillis(560));
-        assertThat(acknowledgement.applied()).isEqualTo(handBack.sequence());
+        assertThat(acknowledgement.applied()).isEqualTo(release.sequence());
         assertThat(acknowledgement.demands()).isEmpty();
         reply(acknowledgement, 0, Duration.ofSeconds(2), START.plusMillis(570));
         holder.onTick(START.plusSeconds(5), effects);
--- a/wagtaillug-core/src/test/java/org/wagtaillug/grant/GrantLivenessTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/grant/GrantLivenessTest.java
@@ -1,64 +1,67 @@
 package org.wagtaillug.grant;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static org.wagtaillug.grant.GrantWorld.UPSTREAM;
+import static org.wagtaillug.grant.GrantSimulation.UPSTREAM;
 
 import java.time.Instant;
 import org.junit.jupiter.api.Test;
-import org.wagtaillug.grant.GrantWorld.Member;
+import org.wagtaillug.grant.GrantSimulation.Member;
 import org.wagtaillug.node.Effects;
 
 class GrantLivenessTest {
     private static final int NEVER_WARM = 1_000_000;
 
-    private static GrantWorld world(long seed, int coldLimit, int warmAfter, int warmLimit, int nodes) {
-        return new GrantWorld(seed, new FakeConfiguration(coldLimit, warmAfter, warmLimit), nodes, false);
+    private static GrantSimulation simulation(long seed, int coldLimit, int warmAfter, int warmLimit, int nodes) {
+        return new GrantSimulation(seed, new FakeConfiguration(coldLimit, warmAfter, warmLimit), nodes, false);
     }
 
-    private static void wantEach(GrantWorld world, int count) {
-        for (Member member : world.members) {
+    private static void wantEach(GrantSimulation simulation, int count) {
+        for (Member member : simulation.members) {
             member.wanted = count;
         }
     }
 
-    /** One node's callers are served by a cold engine while another node's wait for ever, because turns go to the quickest. */
+    /**
+     * Guards against starvation: turns at a cold upstream that go to the fastest node leave the callers of another node
+     * waiting for ever.
+     */
     @Test
     void everyHolderGetsATurnAtAColdUpstream() {
         for (long seed = 1; seed <= 20; seed++) {
-            GrantWorld world = world(seed, 1, NEVER_WARM, 8, 9);
-            wantEach(world, 3);
-            world.runUntil(30_000);
-            for (Member member : world.members) {
+            GrantSimulation simulation = simulation(seed, 1, NEVER_WARM, 8, 9);
+            wantEach(simulation, 3);
+            simulation.runUntil(30_000);
+            for (Member member : simulation.members) {
                 assertThat(member.served).as("%s, seed %d", member.name, seed).isGreaterThan(2);
             }
-            assertThat(world.upstream.most()).isEqualTo(1);
+            assertThat(simulation.upstream.maxInFlight()).isEqualTo(1);
         }
     }
 
     /**
-     * After a bad quarter of an hour callers still get refusals though every engine is well: places that were reserved
-     * for lost replies, dead nodes and old owners were never given back.
+     * Guards against leaked slots: if slots reserved for lost replies, dead nodes and former owners are never released,
+     * callers are refused long after the faults are over although every upstream is healthy.
      */
     @Test
     void everyHolderIsServedAgainOnceFaultsAreOver() {
         for (long seed = 1; seed <= 100; seed++) {
             boolean warms = seed % 2 == 0;
-            GrantWorld world = new GrantWorld(
+            GrantSimulation simulation = new GrantSimulation(
                     seed, new FakeConfiguration(1, warms ? 4 : NEVER_WARM, 8), 3 + (int) (seed % 7), true);
-            world.varyDemand(4);
-            world.scheduleFaults(20, 8);
-            world.runUntil(25_000);
-            world.faults = false;
-            world.runUntil(50_000);
+            simulation.varyDemand(4);
+            simulation.scheduleFaults(20, 8);
+            simulation.runUntil(25_000);
+            simulation.faults = false;
+            simulation.runUntil(50_000);
             long[] before =
-                    world.members.stream().mapToLong(each -> each.served).toArray();
+                    simulation.members.stream().mapToLong(each -> each.served).toArray();
             for (int i = 0; i < 30; i++) {
-                world.runUntil(50_000 + 1000 * i);
-                wantEach(world, 2);
+                simulation.runUntil(50_000 + 1000 * i);
+                wantEach(simulation, 2);
             }
-            assertThat(world.violation).as("seed %d", seed).isEmpty();
+            assertThat(simulation.violation).as("seed %d", seed).isEmpty();
             for (int i = 0; i < before.length; i++) {
-                Member member = world.members.get(i);
+                Member member = simulation.members.get(i);
                 assertThat(member.served).as("%s, seed %d", member.name, seed).isGreaterThan(before[i]);
             }
         }
@@ -66,10 +69,10 @@
 
     @Test
     void aWarmStartNeedsNoRoundTrip() {
-        GrantWorld world = world(1, 2, 4, 12, 3);
-        wantEach(world, 1);
-        world.runUntil(20_000);
-        for (Member member : world.members) {
+        GrantSimulation simulation = simulation(1, 2, 4, 12, 3);
+        wantEach(simulation, 1);
+        simulation.runUntil(20_000);
+        for (Member member : simulation.members) {
             assertThat(member.holder.cold(UPSTREAM)).isFalse();
             assertThat(member.holder.available(UPSTREAM, member.clock()))
                     .as(member.name)
@@ -78,19 +81,19 @@
     }
 
     /**
-     * Callers wait for seconds at an engine that has room, because the one node that gives out its allowances has died
-     * and no other has taken over yet.
+     * Guards against waiting at an upstream with free capacity because the owner that grants its allowances has died
+     * and no other node has taken over yet.
      */
     @Test
     void aWarmUpstreamIsUsedOnAFixedShareWhileItsOwnerIsSilent() {
-        GrantWorld world = world(1, 2, 4, 6, 3);
-        wantEach(world, 4);
-        world.runUntil(20_000);
-        world.members.get(0).pause(1_000_000);
-        world.runUntil(26_000);
-        long before = world.members.get(1).served;
-        world.runUntil(40_000);
-        Member member = world.members.get(1);
+        GrantSimulation simulation = simulation(1, 2, 4, 6, 3);
+        wantEach(simulation, 4);
+        simulation.runUntil(20_000);
+        simulation.members.get(0).pause(1_000_000);
+        simulation.runUntil(26_000);
+        long before = simulation.members.get(1).served;
+        simulation.runUntil(40_000);
+        Member member = simulation.members.get(1);
         assertThat(member.served).isGreaterThan(before + 10);
         GrantView view = member.holder.view(UPSTREAM, member.clock()).get();
         assertThat(view.fixedShare()).isTrue();
@@ -102,32 +105,38 @@
         assertThat(member.holder.available(UPSTREAM, member.clock())).isZero();
     }
 
-    /** The engine has just started and its owner dies: the others must not each help themselves to "just one". */
+    /**
+     * The upstream has just started and its owner dies: the other nodes must not each send it a request without a
+     * grant.
+     */
     @Test
     void aColdUpstreamIsNotUsedWhileItsOwnerIsSilent() {
-        GrantWorld world = world(1, 2, NEVER_WARM, 6, 3);
-        wantEach(world, 4);
-        world.runUntil(20_000);
-        world.members.get(0).pause(1_000_000);
-        world.runUntil(26_000);
-        long before = world.members.get(1).served;
+        GrantSimulation simulation = simulation(1, 2, NEVER_WARM, 6, 3);
+        wantEach(simulation, 4);
+        simulation.runUntil(20_000);
+        simulation.members.get(0).pause(1_000_000);
+        simulation.runUntil(26_000);
+        long before = simulation.members.get(1).served;
         assertThat(before).isPositive();
-        world.runUntil(40_000);
-        assertThat(world.members.get(1).served).isEqualTo(before);
-        assertThat(world.members
+        simulation.runUntil(40_000);
+        assertThat(simulation.members.get(1).served).isEqualTo(before);
+        assertThat(simulation
+                        .members
                         .get(1)
                         .holder
-                        .available(UPSTREAM, world.members.get(1).clock()))
+                        .available(UPSTREAM, simulation.members.get(1).clock()))
                 .isZero();
     }
 
-    /** Waking up after a pause, a node takes its own silence for that of the owner, and sends though it was granted nothing. */
+    /**
+     * A node that wakes from a pause must not mistake its own silence for that of the owner and send without a grant.
+     */
     @Test
     void aPausedHolderDoesNotFallBackOnWaking() {
-        GrantWorld world = world(1, 2, 4, 6, 3);
-        wantEach(world, 4);
-        world.runUntil(20_000);
-        Member member = world.members.get(1);
+        GrantSimulation simulation = simulation(1, 2, 4, 6, 3);
+        wantEach(simulation, 4);
+        simulation.runUntil(20_000);
+        Member member = simulation.members.get(1);
         assertThat(member.holder.cold(UPSTREAM)).isFalse();
         Effects unsent = new Effects();
         member.holder.onTick(member.clock().plusMillis(500), unsent);
--- a/wagtaillug-core/src/test/java/org/wagtaillug/grant/GrantOwnerTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/grant/GrantOwnerTest.java
@@ -38,7 +38,7 @@
     private long sequence;
 
     @BeforeEach
-    void begin() {
+    void setUp() {
         ownership.owner = Optional.of(ownership.self());
         ownership.members.add(HOLDER);
         owner.onVmList(List.of(vm(false)), now);
@@ -67,7 +67,7 @@
         return owner.answer(HOLDER, ask, now, effects).get().offers().get(0);
     }
 
-    private List<GrantReply> unasked() {
+    private List<GrantReply> withdrawals() {
         List<GrantReply> found = new ArrayList<>();
         for (Effect effect : effects.drain()) {
             if (effect instanceof Effect.SendToPeer(VmId to, GrantReply reply) && to.equals(HOLDER.vm())) {
@@ -113,8 +113,8 @@
     }
 
     /**
-     * An owner dies and the next one fills a cold engine that still works on what a dead or unheard node sent it. Only a
-     * report of idleness that describes a moment after the old grants may shorten the wait, and reports lag.
+     * Guards against a new owner filling a cold upstream that still works on requests from dead or unreachable nodes.
+     * Only a report of idleness that describes a moment after the old grants may shorten the wait, and reports lag.
      */
     @Test
     void aNewOwnerWaitsForWhatMayStillRun() {
@@ -134,11 +134,12 @@
     }
 
     /**
-     * An owner sleeps through a restart. On waking it finds asks full of successes from before, and hands out bundles at
-     * an engine that has just started. The answer to its last question has waited for it too and is as old.
+     * An owner is paused during a restart. On waking it finds grant requests with many successes from before the
+     * restart, and must not grant shares for a warm upstream. The answer to its last load request has waited as well
+     * and is as old.
      */
     @Test
-    void anOwnerThatWasPausedKnowsNothing() {
+    void aPausedOwnerTreatsItsUpstreamsAsCold() {
         assertThat(ask(9, 100, false).cold()).isFalse();
         now = now.plusMillis(1_501);
         report(1);
@@ -148,19 +149,22 @@
         assertThat(ask(9, 200, false).cold()).isFalse();
     }
 
-    /** A place is given out twice: an ask that was long under way says that nothing runs, but by now something does. */
+    /**
+     * Guards against granting a slot twice: a delayed grant request reports that nothing is in use, but by now
+     * something is.
+     */
     @Test
     void aReportOfNothingInUseFreesNoUnacknowledgedAllowance() {
         assertThat(ask(2, 0, false).allowed()).isEqualTo(2);
-        assertThat(askOfAnother(1)).isZero();
-        now = now.plus(GrantOwner.COLD_GRANT);
+        assertThat(askAsAnotherHolder(1)).isZero();
+        now = now.plus(GrantOwner.COLD_TURN);
         assertThat(ask(2, 0, false).allowed()).isEqualTo(1);
-        assertThat(askOfAnother(2)).isZero();
+        assertThat(askAsAnotherHolder(2)).isZero();
         assertThat(ask(2, 0, false).allowed()).isEqualTo(1);
-        assertThat(askOfAnother(3)).isEqualTo(1);
+        assertThat(askAsAnotherHolder(3)).isEqualTo(1);
     }
 
-    private int askOfAnother(long number) {
+    private int askAsAnotherHolder(long number) {
         NodeId other = new NodeId(new VmId("node-3"), 1);
         ownership.members.add(other);
         GrantDemand demand = new GrantDemand(ID, 1, 0, 0, false, Optional.empty());
@@ -169,15 +173,15 @@
     }
 
     /**
-     * A warm engine restarts and falls over again at once: bundles that were given out before go on being used. The new
-     * start in its report has to take them back without waiting for an ask.
+     * Guards against a warm upstream that restarts and is overloaded again at once because nodes keep using shares
+     * granted before. The new start time in its report has to withdraw them without waiting for a grant request.
      */
     @Test
     void withdrawsAtOnceWhenTheUpstreamRestarts() {
         ask(9, 100, false);
         effects.drain();
         report(2);
-        assertThat(unasked()).singleElement().satisfies(reply -> {
+        assertThat(withdrawals()).singleElement().satisfies(reply -> {
             assertThat(reply.sequence()).isZero();
             assertThat(reply.offers().get(0).allowed()).isZero();
         });
@@ -196,7 +200,10 @@
         assertThat(ask(9, 4, false).cold()).isTrue();
     }
 
-    /** An engine failed for one node; what another counted before that, and reports after it, must not warm it again. */
+    /**
+     * After a failure at one node, what another node counted before and reports later must not make the upstream warm
+     * again.
+     */
     @Test
     void successesFromBeforeAFailureAreNoEvidence() {
         ask(9, 3, false);
@@ -207,62 +214,68 @@
         assertThat(ask(9, 54, false).cold()).isFalse();
     }
 
-    /** Operators take a server out, or the platform says that it is leaving, and callers' work still lands on it. */
+    /**
+     * Guards against work that still reaches an upstream that operators took out of service or that the platform
+     * reports as leaving.
+     */
     @Test
     void withdrawsFromAnUpstreamThatLeavesOrIsTakenOut() {
         ask(1, 0, false);
-        configuration.out.add(ID);
+        configuration.outOfService.add(ID);
         owner.onTick(now, effects);
-        assertThat(unasked()).hasSize(1);
+        assertThat(withdrawals()).hasSize(1);
         assertThat(ask(1, 0, false).allowed()).isZero();
-        configuration.out.clear();
-        now = now.plus(GrantOwner.ACTIVE);
+        configuration.outOfService.clear();
+        now = now.plus(GrantOwner.DEMAND_LIFETIME);
         assertThat(ask(1, 0, false).allowed()).isEqualTo(1);
         effects.drain();
         owner.onVmList(List.of(vm(true)), now);
         owner.onTick(now, effects);
-        assertThat(unasked()).hasSize(1);
+        assertThat(withdrawals()).hasSize(1);
         assertThat(ask(1, 0, false).allowed()).isZero();
     }
 
-    /** A failure domain comes back and falls over under the load that it bore when it left. */
+    /** Guards against overloading a failure domain that comes back with the load that it took before it left. */
     @Test
     void beginsColdWhenItComesBackIntoService() {
         assertThat(ask(9, 100, false).cold()).isFalse();
-        configuration.out.add(ID);
+        configuration.outOfService.add(ID);
         owner.onTick(now, effects);
-        configuration.out.clear();
+        configuration.outOfService.clear();
         owner.onTick(now, effects);
         assertThat(ask(9, 101, false).cold()).isTrue();
         assertThat(ask(9, 105, false).cold()).isFalse();
     }
 
     /**
-     * An engine's cache went cold without a restart while only one node used it. Its next owner hears from a node that
-     * used it long before, warm then, and lets all in at once.
+     * An upstream turned cold without a restart while only one node used it. The next owner hears from a node that used
+     * it long before, when it was warm, and must not grant to all at once.
      */
     @Test
     void aHoldersOldSuccessesAreNoEvidence() {
-        HeldUpstream held = new HeldUpstream(vm(false));
-        held.apply(new GrantOffer(ID, 4, Timing.LONGEST_GRANT, false, Optional.empty()), HOLDER, now, now);
-        held.started();
-        held.finished(Finish.SUCCEEDED, now);
-        assertThat(held.demand(1, now.plusSeconds(30)).succeeded()).isEqualTo(1);
-        assertThat(held.demand(1, now.plusSeconds(31)).succeeded()).isZero();
+        UpstreamGrant grant = new UpstreamGrant(vm(false));
+        grant.apply(new GrantOffer(ID, 4, Timing.LONGEST_GRANT, false, Optional.empty()), HOLDER, now, now);
+        grant.started();
+        grant.finished(Finish.SUCCEEDED, now);
+        assertThat(grant.demand(1, now.plusSeconds(30)).succeeded()).isEqualTo(1);
+        assertThat(grant.demand(1, now.plusSeconds(31)).succeeded()).isZero();
     }
 
-    /** An answer of the process before is read after the news of a restart, and counts as a success of the new one. */
+    /**
+     * A response of the previous process that is read after the news of a restart must not count as a success of the
+     * new process.
+     */
     @Test
     void anAnswerOfTheProcessBeforeIsNoEvidence() {
-        HeldUpstream held = new HeldUpstream(vm(false));
-        held.apply(new GrantOffer(ID, 2, Timing.LONGEST_GRANT, true, startedAt(1)), HOLDER, now, now);
-        held.started();
-        held.apply(new GrantOffer(ID, 2, Timing.LONGEST_GRANT, true, startedAt(2)), HOLDER, now, now);
-        held.finished(Finish.SUCCEEDED, now);
-        assertThat(held.demand(1, now).succeeded()).isZero();
-        held.started();
-        held.finished(Finish.SUCCEEDED, now);
-        assertThat(held.demand(1, now).succeeded()).isEqualTo(1);
+        UpstreamGrant grant = new UpstreamGrant(vm(false));
+        grant.apply(new GrantOffer(ID, 2, Timing.LONGEST_GRANT, true, startedAt(1)), HOLDER, now, now);
+        grant.started();
+        grant.apply(new GrantOffer(ID, 2, Timing.LONGEST_GRANT, true, startedAt(2)), HOLDER, now, now);
+        grant.finished(Finish.SUCCEEDED, now);
+        assertThat(grant.demand(1, now).succeeded()).isZero();
+        grant.started();
+        grant.finished(Finish.SUCCEEDED, now);
+        assertThat(grant.demand(1, now).succeeded()).isEqualTo(1);
     }
 
     private Optional<LoadReport> startedAt(long millis) {
@@ -270,10 +283,12 @@
         return Optional.of(new LoadReport(start, now, 0, 0, 8, Optional.empty(), 0, 0));
     }
 
-    /** A pool of which little is wanted is asked little for: each upstream used costs its owner messages twice a second. */
+    /**
+     * A small demand is spread over few upstreams, since each upstream used costs its owner two messages per second.
+     */
     @Test
     void asksForFewUpstreamsWhenLittleIsWanted() {
-        assertThat(upstreamsAskedFor(1)).isEqualTo(GrantHolder.SMALLEST_FAN_OUT);
+        assertThat(upstreamsAskedFor(1)).isEqualTo(GrantHolder.MIN_FAN_OUT);
         assertThat(upstreamsAskedFor(9)).isEqualTo(9);
     }
 
@@ -281,14 +296,14 @@
         FakeOwnership view = new FakeOwnership(HOLDER);
         view.owner = Optional.of(ownership.self());
         GrantHolder holder = new GrantHolder(view, configuration, new GrantOwner(view, configuration));
-        holder.onVmList(rerankers(40), now);
+        holder.onVmList(upstreams(40), now);
         holder.want(POOL, wanted);
         holder.onTick(now, effects);
         Effect.SendToPeer message = (Effect.SendToPeer) effects.drain().getFirst();
         return ((GrantAsk) message.message()).demands().size();
     }
 
-    private static List<Vm> rerankers(int count) {
+    private static List<Vm> upstreams(int count) {
         List<Vm> vms = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             VmId id = new VmId("rerank-" + i);
@@ -297,13 +312,16 @@
         return vms;
     }
 
-    /** With a hundred servers in a pool and as many nodes, asks of everybody for everything would fill the network. */
+    /**
+     * With a hundred upstreams in a pool and as many nodes, grant requests from every node for every upstream would
+     * saturate the network.
+     */
     @Test
     void asksForAtMostSixteenUpstreamsOfAPool() {
         FakeOwnership view = new FakeOwnership(HOLDER);
         view.owner = Optional.of(ownership.self());
         GrantHolder holder = new GrantHolder(view, configuration, new GrantOwner(view, configuration));
-        holder.onVmList(rerankers(40), now);
+        holder.onVmList(upstreams(40), now);
         holder.onTick(now, effects);
         assertThat(effects.drain()).isEmpty();
         holder.want(POOL, 100);
