--- a/wagtaillug-core/src/main/java/org/wagtaillug/membership/PeerView.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/membership/PeerView.java
@@ -8,14 +8,14 @@
 /**
  * Another member of the roster as this node knows it.
  *
- * @param node which
+ * @param node its id
  * @param domain its failure domain
- * @param watched whether this node probes it; of others it knows only that they are members
+ * @param watched whether this node probes it; of other members it knows only that they are in the roster
  * @param heard whether it answered within the timeout
- * @param silence how long it has not answered; empty if it is not watched
- * @param through how far it said that it had read the control stream; 0 if it never did
- * @param logReachable whether it said that it reaches the log
- * @param ready whether it said that it takes requests
+ * @param silence how long it has not answered; empty if it is not probed
+ * @param through the offset up to which it reported having read the control stream; 0 if it never reported one
+ * @param logReachable whether it reported that it reaches the log
+ * @param ready whether it reported that it accepts requests
  */
 public record PeerView(
         NodeId node,
@@ -26,7 +26,7 @@
         long through,
         boolean logReachable,
         boolean ready) {
-    static PeerView unwatched(NodeId node, DomainId domain) {
+    static PeerView unprobed(NodeId node, DomainId domain) {
         return new PeerView(node, domain, false, false, Optional.empty(), 0, false, false);
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/membership/Watch.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/membership/ProbedPeer.java
@@ -10,41 +10,42 @@
 import org.wagtaillug.id.VmId;
 import org.wagtaillug.message.PeerMessage.ProbeReply;
 
-/** What this node knows of one peer that it probes. */
-final class Watch {
+/** The state of one peer that this node probes. */
+final class ProbedPeer {
     /** Replies to older probes are dropped. */
-    private static final int REMEMBERED_PROBES = 8;
+    private static final int MAX_PENDING_PROBES = 8;
 
     private final VmId vm;
     private Optional<NodeId> node;
     private final Deque<SentProbe> probes = new ArrayDeque<>();
-    private final int turn;
+    private final int removalRank;
     private Instant silentSince;
     private Optional<Instant> heardAt = Optional.empty();
     private Optional<NodeId> heardFrom = Optional.empty();
-    private Optional<ProbeReply> last = Optional.empty();
-    private Optional<Instant> tailKnownAt = Optional.empty();
-    private Optional<Instant> removalAskedAt = Optional.empty();
+    private Optional<ProbeReply> lastReply = Optional.empty();
+    private Optional<Instant> tailReadAt = Optional.empty();
+    private Optional<Instant> removalRequestedAt = Optional.empty();
 
     /**
-     * A probe on its way.
+     * A probe without a reply so far.
      *
-     * @param sequence its number
-     * @param sentAt when it was handed to the frame
+     * @param sequence its sequence number
+     * @param sentAt when it was passed to the I/O layer
      */
     private record SentProbe(long sequence, Instant sentAt) {}
 
     /**
-     * Starts watching.
+     * Starts probing a peer.
      *
-     * @param vm where the peer runs
-     * @param node which run of it; empty for a seed
-     * @param turn from 0 to 7, so that of those who watch it one removes it first
+     * @param vm the VM that the peer runs on
+     * @param node the node id of the peer; empty for a seed
+     * @param removalRank from 0 to 7; staggers the removal by the nodes that probe the peer, so that one of them
+     *      removes it first
      */
-    Watch(VmId vm, Optional<NodeId> node, int turn, Instant now) {
+    ProbedPeer(VmId vm, Optional<NodeId> node, int removalRank, Instant now) {
         this.vm = vm;
         this.node = node;
-        this.turn = turn;
+        this.removalRank = removalRank;
         this.silentSince = now;
     }
 
@@ -57,9 +58,9 @@
     }
 
     /**
-     * Turns the watch of a seed into that of a member, if it was that run that answered. Without it a node that starts
-     * while the log is down hears nobody from the moment that it learns the roster until the next probes are answered, and
-     * takes itself to be cut off.
+     * Turns a seed into a member, if the last reply came from the node with that id. Without this, a node that starts
+     * while the log is unavailable would hear no peer between learning the roster and the replies to the next probes,
+     * and would consider itself cut off.
      */
     boolean identify(Optional<NodeId> member) {
         if (node.isPresent() || member.isEmpty() || !heardFrom.equals(member)) {
@@ -69,43 +70,43 @@
         return true;
     }
 
-    int turn() {
-        return turn;
+    int removalRank() {
+        return removalRank;
     }
 
-    Optional<ProbeReply> last() {
-        return last;
+    Optional<ProbeReply> lastReply() {
+        return lastReply;
     }
 
-    /** A time at which the peer had read to the tail of the control stream, by its last reply. */
-    Optional<Instant> tailKnownAt() {
-        return tailKnownAt;
+    /** A time at which the peer had read to the tail of the control stream, according to its last reply. */
+    Optional<Instant> tailReadAt() {
+        return tailReadAt;
     }
 
     /** Whether the peer has answered a probe within the timeout. */
-    boolean heard(Instant now) {
+    boolean isHeard(Instant now) {
         return heardAt.isPresent() && now.isBefore(heardAt.get().plus(Timing.PEER_TIMEOUT));
     }
 
-    /** How long the peer has been silent, not counting while this node itself stood still. */
+    /** How long the peer has been silent, not counting pauses of this node. */
     Duration silence(Instant now) {
         return Duration.between(silentSince, now);
     }
 
-    /** Begins to count the silence anew. */
-    void forgive(Instant now) {
+    /** Restarts the count of the silence. */
+    void resetSilence(Instant now) {
         silentSince = now;
     }
 
     void probeSent(long sequence, Instant now) {
         probes.addLast(new SentProbe(sequence, now));
-        if (probes.size() > REMEMBERED_PROBES) {
+        if (probes.size() > MAX_PENDING_PROBES) {
             probes.removeFirst();
         }
     }
 
-    /** Takes a reply in. Gives whether it answers a probe that is remembered. */
-    boolean answered(NodeId sender, ProbeReply reply, Instant now) {
+    /** Handles a reply. Returns whether it answers a pending probe. */
+    boolean onReply(NodeId sender, ProbeReply reply, Instant now) {
         if (node.isPresent() && !node.get().equals(sender)) {
             return false;
         }
@@ -119,19 +120,20 @@
             silentSince = now;
             heardAt = Optional.of(now);
             heardFrom = Optional.of(sender);
-            last = Optional.of(reply);
-            tailKnownAt = reply.tailAge().filter(age -> !age.isNegative()).map(age -> probe.sentAt()
+            lastReply = Optional.of(reply);
+            tailReadAt = reply.tailAge().filter(age -> !age.isNegative()).map(age -> probe.sentAt()
                     .minus(age));
             return true;
         }
         return false;
     }
 
-    boolean removalAskedWithin(Duration length, Instant now) {
-        return removalAskedAt.isPresent() && now.isBefore(removalAskedAt.get().plus(length));
+    boolean removalRequestedWithin(Duration length, Instant now) {
+        return removalRequestedAt.isPresent()
+                && now.isBefore(removalRequestedAt.get().plus(length));
     }
 
-    void removalAsked(Instant now) {
-        removalAskedAt = Optional.of(now);
+    void removalRequested(Instant now) {
+        removalRequestedAt = Optional.of(now);
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/membership/Rendezvous.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/membership/Rendezvous.java
@@ -13,24 +13,24 @@
 import java.util.Optional;
 
 /**
- * Rendezvous hashing: of several candidates the one with the highest score for a subject has it. When a candidate comes
- * or goes, only the subjects that it wins or held move.
+ * Rendezvous hashing: a subject is assigned to the candidate with the highest score for it. When a candidate is added
+ * or removed, only the subjects that it gains or had move.
  *
- * <p>Each name is hashed once by SHA-256, which gives the same on every platform and spreads names that differ in one
- * character; a pair is scored by the finalizer of MurmurHash3 over both, which costs a few nanoseconds. A CRC would be as
- * fast, but it is linear: two candidates would be ordered by one and the same bit for all subjects.
+ * <p>Each name is hashed once with SHA-256, which is the same on every platform and disperses names that differ in one
+ * character. A pair is scored with the finalizer of MurmurHash3 over both hashes, which costs a few nanoseconds. A CRC
+ * would be as fast, but it is linear: the order of two candidates would depend on the same bit for all subjects.
  */
 public final class Rendezvous {
-    private static final int CACHED_NAMES = 10_000;
+    private static final int MAX_CACHED_HASHES = 10_000;
 
     private final Map<String, Long> hashes = new HashMap<>();
 
-    /** The score of a candidate for a subject. The same in every process. */
+    /** The score of a candidate for a subject, identical in every process. */
     public long score(String subject, String candidate) {
         return score(hash(subject), hash(candidate));
     }
 
-    /** The VMs in the order of their scores for a subject, the highest first; equal scores in the order of their ids. */
+    /** The VMs ordered by descending score for a subject; equal scores in the order of their ids. */
     public List<Vm> rank(String subject, Collection<Vm> candidates) {
         long subjectHash = hash(subject);
         List<Scored> scored = new ArrayList<>();
@@ -63,18 +63,18 @@
         return Optional.ofNullable(first);
     }
 
-    /** The score of a candidate for a subject whose names were hashed before. */
+    /** The score for a subject and a candidate whose names are hashed already. */
     static long score(long subjectHash, long candidateHash) {
         return mix(subjectHash + Long.rotateLeft(candidateHash, 1));
     }
 
-    /** The place of a name on a ring. The same in every process. */
+    /** The position of a name on a hash ring, identical in every process. */
     public long hash(String name) {
         Long known = hashes.get(name);
         if (known != null) {
             return known;
         }
-        if (hashes.size() >= CACHED_NAMES) {
+        if (hashes.size() >= MAX_CACHED_HASHES) {
             hashes.clear();
         }
         long hash = sha256(name);
--- a/wagtaillug-core/src/main/java/org/wagtaillug/membership/RosterEntry.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/membership/RosterRegistration.java
@@ -15,12 +15,12 @@
 import org.wagtaillug.node.Effect;
 import org.wagtaillug.node.Effects;
 
-/** What this node writes about the roster: its own joins and its leave, and removals of others. */
-final class RosterEntry {
-    private static final Duration JOIN_AGAIN = Duration.ofSeconds(2);
-    private static final Duration FIRST_REJOIN = Duration.ofMillis(500);
-    private static final Duration LAST_REJOIN = Duration.ofSeconds(60);
-    private static final Duration SETTLED = Duration.ofMinutes(1);
+/** Appends the roster records of this node: its own joins and its leave, and removals of other nodes. */
+final class RosterRegistration {
+    private static final Duration JOIN_RETRY_INTERVAL = Duration.ofSeconds(2);
+    private static final Duration MIN_REJOIN_DELAY = Duration.ofMillis(500);
+    private static final Duration MAX_REJOIN_DELAY = Duration.ofSeconds(60);
+    private static final Duration STABLE_MEMBERSHIP = Duration.ofMinutes(1);
 
     private final ControlLog log;
     private final NodeId self;
@@ -28,11 +28,11 @@
     private Optional<Instant> joinSentAt = Optional.empty();
     private Optional<Instant> memberSince = Optional.empty();
     private Optional<Instant> rejoinAt = Optional.empty();
-    private Duration rejoinDelay = FIRST_REJOIN;
+    private Duration rejoinDelay = MIN_REJOIN_DELAY;
     private boolean leaving;
-    private boolean supersededTold;
+    private boolean supersededLogged;
 
-    RosterEntry(ControlLog log) {
+    RosterRegistration(ControlLog log) {
         this.log = log;
         this.self = log.self();
     }
@@ -48,9 +48,9 @@
     /**
      * Joins if this node is not in the roster.
      *
-     * @param hearsMost whether it hears most of those it watches
+     * @param hearsMajority whether this node hears a majority of the peers that it probes
      */
-    void onTick(boolean hearsMost, Instant now, Effects effects) {
+    void onTick(boolean hearsMajority, Instant now, Effects effects) {
         if (log.state().isMember(self)) {
             if (memberSince.isEmpty()) {
                 memberSince = Optional.of(now);
@@ -58,46 +58,45 @@
             return;
         }
         if (memberSince.isPresent()) {
-            noticeRemoval(now);
+            onRemoved(now);
         }
         if (leaving || !log.complete() || !log.logReachable(now) || superseded(effects)) {
             return;
         }
-        // Others removed this node because they do not hear it. Joining again before it hears them would only be
-        // undone,
-        // and each turn moves upstreams between owners, which nobody grants for a handover's length.
-        if (rejoinAt.isPresent() && (now.isBefore(rejoinAt.get()) || !hearsMost)) {
+        // Others removed this node because they do not hear it. A join before it hears them would only be undone, and
+        // each change moves upstreams between owners, for which nobody grants during the handover.
+        if (rejoinAt.isPresent() && (now.isBefore(rejoinAt.get()) || !hearsMajority)) {
             return;
         }
-        if (joinSentAt.isPresent() && now.isBefore(joinSentAt.get().plus(JOIN_AGAIN))) {
+        if (joinSentAt.isPresent() && now.isBefore(joinSentAt.get().plus(JOIN_RETRY_INTERVAL))) {
             return;
         }
         joinSentAt = Optional.of(now);
         append(new RosterChange(RosterChangeKind.JOIN, self, self, Optional.of(log.address())), effects);
     }
 
-    private void noticeRemoval(Instant now) {
-        boolean settled = !now.isBefore(memberSince.get().plus(SETTLED));
+    private void onRemoved(Instant now) {
+        boolean stable = !now.isBefore(memberSince.get().plus(STABLE_MEMBERSHIP));
         memberSince = Optional.empty();
         joinSentAt = Optional.empty();
-        if (settled) {
-            rejoinDelay = FIRST_REJOIN;
+        if (stable) {
+            rejoinDelay = MIN_REJOIN_DELAY;
         }
         rejoinAt = Optional.of(now.plus(rejoinDelay));
         Duration doubled = rejoinDelay.multipliedBy(2);
-        rejoinDelay = doubled.compareTo(LAST_REJOIN) > 0 ? LAST_REJOIN : doubled;
+        rejoinDelay = doubled.compareTo(MAX_REJOIN_DELAY) > 0 ? MAX_REJOIN_DELAY : doubled;
     }
 
     private boolean superseded(Effects effects) {
-        Optional<StateMember> present = log.state().member(self.vm());
-        if (present.isEmpty() || present.get().node().incarnation() < self.incarnation()) {
+        Optional<StateMember> current = log.state().member(self.vm());
+        if (current.isEmpty() || current.get().node().incarnation() < self.incarnation()) {
             return false;
         }
-        if (!supersededTold) {
-            supersededTold = true;
+        if (!supersededLogged) {
+            supersededLogged = true;
             effects.add(new Effect.LogDecision(Decision.builder("roster-superseded")
                     .field("self", self)
-                    .field("by", present.get().node())
+                    .field("by", current.get().node())
                     .build()));
         }
         return true;
--- a/wagtaillug-core/src/main/java/org/wagtaillug/membership/Standing.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/membership/Standing.java
@@ -1,13 +1,16 @@
 package org.wagtaillug.membership;
 
-/** What a node may take for granted about its own view of the control stream. */
+/** What a node may assume about its own view of the control stream. */
 public enum Standing {
-    /** It does not hold the whole control state yet. */
+    /** The node does not have the complete control state yet. */
     STARTING,
-    /** It knows every record that was on the log a lease's length ago. */
+    /** The node has read every record that was in the log one lease ago. */
     FRESH,
-    /** Nobody that it hears reaches the log, and it hears most of the roster: no change can be accepted now. */
+    /**
+     * The node hears a majority of the roster, and no peer that it hears reaches the log: no change can be accepted
+     * now.
+     */
     LOG_OUTAGE,
-    /** It hears neither the log nor most of the roster, or has heard of records that it cannot get. */
+    /** The node hears neither the log nor a majority of the roster, or knows of records that it cannot get. */
     CUT_OFF
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/membership/StateRepair.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/membership/StateRepair.java
@@ -18,42 +18,43 @@
 import org.wagtaillug.node.Effects;
 
 /**
- * Gets the control state from a peer when the log does not give it, and replaces it when it is found to be corrupt.
+ * Gets the control state from a peer when it is not available from the log, and replaces it when it is corrupt.
  *
- * <p>Corrupt means: at the same offset at least two peers agree on a digest that is not this node's, and more peers than
- * agree with this node. A single peer that differs proves nothing, since it may be the corrupt one.
+ * <p>A state is considered corrupt if at least two peers at the same offset agree on a different digest, and they
+ * outnumber the nodes that agree with this one. A single peer that differs proves nothing, since its own state may be
+ * the corrupt one.
  */
 final class StateRepair {
-    private static final Duration LOG_FIRST = Duration.ofSeconds(1);
-    private static final Duration ASK_AGAIN = Duration.ofMillis(500);
-    private static final Duration TELL_AGAIN = Duration.ofSeconds(10);
-    private static final Duration REPAIR_AGAIN = Duration.ofMinutes(1);
-    private static final int AGREEING = 2;
+    private static final Duration LOG_TIMEOUT = Duration.ofSeconds(1);
+    private static final Duration ASK_RETRY_INTERVAL = Duration.ofMillis(500);
+    private static final Duration DIFFERENCE_LOG_INTERVAL = Duration.ofSeconds(10);
+    private static final Duration REPAIR_RETRY_INTERVAL = Duration.ofMinutes(1);
+    private static final int MIN_AGREEING_PEERS = 2;
 
     private final ControlLog log;
     private final Set<VmId> asked = new HashSet<>();
-    private Optional<Ahead> ahead = Optional.empty();
+    private Optional<PeerAhead> ahead = Optional.empty();
     private Optional<Instant> behindSince = Optional.empty();
-    private long highest;
+    private long highestOffset;
     private Optional<Instant> askedAt = Optional.empty();
-    private Optional<Instant> toldAt = Optional.empty();
+    private Optional<Instant> differenceLoggedAt = Optional.empty();
     private Optional<Instant> repairAskedAt = Optional.empty();
     private Optional<Long> expectedDigest = Optional.empty();
 
     /**
-     * Somebody has read further.
+     * A peer that has read further than this node.
      *
-     * @param peer who
-     * @param through how far
+     * @param peer the VM of the peer
+     * @param through the offset up to which it has read
      */
-    private record Ahead(VmId peer, long through) {}
+    private record PeerAhead(VmId peer, long through) {}
 
     StateRepair(ControlLog log) {
         this.log = log;
     }
 
-    /** Takes note of a peer's position. */
-    void heard(VmId peer, Position position, Instant now) {
+    /** Records the position of a peer. */
+    void onPeerPosition(VmId peer, Position position, Instant now) {
         if (position.through() <= log.state().through()) {
             return;
         }
@@ -61,14 +62,14 @@
             behindSince = Optional.of(now);
             log.readWithoutDelay(now);
         }
-        highest = Math.max(highest, position.through());
+        highestOffset = Math.max(highestOffset, position.through());
         if (ahead.isEmpty() || ahead.get().through() < position.through()) {
-            ahead = Optional.of(new Ahead(peer, position.through()));
+            ahead = Optional.of(new PeerAhead(peer, position.through()));
         }
     }
 
     void onTick(Instant now, Effects effects) {
-        if (log.state().through() >= highest) {
+        if (log.state().through() >= highestOffset) {
             behindSince = Optional.empty();
             ahead = Optional.empty();
             return;
@@ -76,14 +77,14 @@
         if (ahead.isEmpty() || behindSince.isEmpty()) {
             return;
         }
-        boolean logMayGiveIt =
-                log.logReachable(now) && now.isBefore(behindSince.get().plus(LOG_FIRST));
-        if (logMayGiveIt || askedWithin(askedAt, ASK_AGAIN, now)) {
+        boolean waitForLog =
+                log.logReachable(now) && now.isBefore(behindSince.get().plus(LOG_TIMEOUT));
+        if (waitForLog || askedWithin(askedAt, ASK_RETRY_INTERVAL, now)) {
             return;
         }
         askedAt = Optional.of(now);
         ask(ahead.get().peer(), effects);
-        // If this peer does not answer, whoever is heard next to be ahead is asked.
+        // If this peer does not answer, the next peer that is found to be ahead is asked.
         ahead = Optional.empty();
     }
 
@@ -92,7 +93,7 @@
         effects.add(new Effect.SendToPeer(peer, new PeerMessage.StateAsk()));
     }
 
-    /** Takes a state in that was asked for; one that was not, or that is doubled, is dropped. */
+    /** Applies a state that was requested from a peer. An unexpected or duplicate reply is ignored. */
     void onStateReply(VmId sender, PeerMessage.StateReply reply, Instant now, Effects effects) {
         if (!asked.remove(sender)) {
             return;
@@ -104,50 +105,50 @@
         log.onStateReply(reply, now, effects);
     }
 
-    /** Compares digests with the peers that stand at the same offset. */
-    void compare(Collection<Watch> watches, Instant now, Effects effects) {
+    /** Compares the digest of this node with those of the peers at the same offset. */
+    void compare(Collection<ProbedPeer> peers, Instant now, Effects effects) {
         Position own = new Position(log.state().through(), log.state().digest());
         Map<Long, Integer> votes = new HashMap<>();
-        Map<Long, VmId> holders = new HashMap<>();
-        for (Watch watch : watches) {
-            Optional<ProbeReply> last = watch.last();
-            if (last.isEmpty() || !watch.heard(now)) {
+        Map<Long, VmId> peerByDigest = new HashMap<>();
+        for (ProbedPeer peer : peers) {
+            Optional<ProbeReply> lastReply = peer.lastReply();
+            if (lastReply.isEmpty() || !peer.isHeard(now)) {
                 continue;
             }
-            Position position = last.get().position();
+            Position position = lastReply.get().position();
             if (position.through() != own.through()) {
                 continue;
             }
             votes.merge(position.digest(), 1, Integer::sum);
-            holders.put(position.digest(), watch.vm());
+            peerByDigest.put(position.digest(), peer.vm());
         }
         int agreeing = 1 + votes.getOrDefault(own.digest(), 0);
         for (Map.Entry<Long, Integer> vote : votes.entrySet()) {
             if (vote.getKey() == own.digest()) {
                 continue;
             }
-            differs(vote.getKey(), holders.get(vote.getKey()), vote.getValue(), agreeing, now, effects);
+            onDifferentDigest(vote.getKey(), peerByDigest.get(vote.getKey()), vote.getValue(), agreeing, now, effects);
         }
     }
 
-    private void differs(long digest, VmId holder, int against, int agreeing, Instant now, Effects effects) {
-        boolean outvoted = against >= AGREEING && against > agreeing;
-        if (!askedWithin(toldAt, TELL_AGAIN, now)) {
-            toldAt = Optional.of(now);
+    private void onDifferentDigest(long digest, VmId peer, int against, int agreeing, Instant now, Effects effects) {
+        boolean outvoted = against >= MIN_AGREEING_PEERS && against > agreeing;
+        if (!askedWithin(differenceLoggedAt, DIFFERENCE_LOG_INTERVAL, now)) {
+            differenceLoggedAt = Optional.of(now);
             effects.add(new Effect.LogDecision(Decision.builder("control-digest-differs")
                     .field("through", log.state().through())
-                    .field("peer", holder)
+                    .field("peer", peer)
                     .field("against", against)
                     .field("agreeing", agreeing)
                     .field("corrupt", outvoted ? "self" : "not known")
                     .build()));
         }
-        if (!outvoted || askedWithin(repairAskedAt, REPAIR_AGAIN, now)) {
+        if (!outvoted || askedWithin(repairAskedAt, REPAIR_RETRY_INTERVAL, now)) {
             return;
         }
         repairAskedAt = Optional.of(now);
         expectedDigest = Optional.of(digest);
-        ask(holder, effects);
+        ask(peer, effects);
     }
 
     private static boolean askedWithin(Optional<Instant> at, Duration length, Instant now) {
--- a/wagtaillug-core/src/main/java/org/wagtaillug/membership/Timing.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/membership/Timing.java
@@ -3,27 +3,27 @@
 import java.time.Duration;
 
 /**
- * The lengths of time that the nodes' mutual promises rest on. All nodes of a firm must run with the same ones.
+ * Time limits of the membership and grant protocols. All nodes of a platform must use the same values.
  *
- * <p>Clocks of different nodes are never compared; only lengths are, and {@link #DRIFT} covers their rates.
+ * <p>Clocks of different nodes are never compared, only durations, and {@link #DRIFT} covers differences in clock rate.
  */
 public final class Timing {
-    /** How long a read of the control stream's tail vouches for a node's view, from the sending of the read. */
+    /** How long a read of the control stream's tail keeps a node's view fresh, from when the read was sent. */
     public static final Duration LEASE = Duration.ofSeconds(3);
 
-    /** The longest lifetime of an allowance, from the sending of the ask. */
+    /** The maximum lifetime of an allowance, from when the grant request was sent. */
     public static final Duration LONGEST_GRANT = Duration.ofSeconds(2);
 
-    /** The allowance for clocks that run at different rates over a lease and a grant. */
+    /** The allowance for differences in clock rate over a lease and a grant. */
     public static final Duration DRIFT = Duration.ofMillis(250);
 
-    /** How often a node probes each peer that it watches. */
+    /** The interval at which a node probes each of its probed peers. */
     public static final Duration PROBE_PERIOD = Duration.ofMillis(500);
 
-    /** How long a peer may be silent before it is held to be dead. */
+    /** How long a peer may be silent before it is considered dead. */
     public static final Duration PEER_TIMEOUT = Duration.ofSeconds(3);
 
-    /** After this long every right that another node had before a roster record is over. */
+    /** After this time, every right that another node had before a roster record has expired. */
     public static final Duration HANDOVER = LEASE.plus(LONGEST_GRANT).plus(DRIFT);
 
     private Timing() {}
--- a/wagtaillug-core/src/main/java/org/wagtaillug/membership/Vm.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/membership/Vm.java
@@ -7,19 +7,19 @@
 import org.wagtaillug.id.VmId;
 
 /**
- * A VM as the platform's list shows it. The list lags: a VM may be gone though listed, or live though not yet listed.
+ * A VM in the VM list of the platform. The list lags: a listed VM may be gone, and a running one may not be listed yet.
  *
  * @param id its name
- * @param pool the pool it serves in; empty for our own nodes
+ * @param pool the pool that it serves; empty for a VM that runs a node
  * @param domain its failure domain
  * @param region its region
- * @param host an IP number
- * @param port where it listens
- * @param leaving whether the platform said that it is going
+ * @param host its IP address
+ * @param port the port that it listens on
+ * @param leaving whether the platform has announced that it will be removed
  */
 public record Vm(
         VmId id, Optional<PoolId> pool, DomainId domain, RegionId region, String host, int port, boolean leaving) {
-    /** Whether it is an upstream rather than a node of ours. */
+    /** Whether this VM is an upstream rather than a node. */
     public boolean upstream() {
         return pool.isPresent();
     }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/membership/package-info.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/membership/package-info.java
@@ -1,2 +1,2 @@
-/** Which VMs and nodes there are, which of them can be heard, and how far each has read the log. */
+/** The VMs and nodes of the platform, the liveness of the nodes, and how far each has read the control stream. */
 package org.wagtaillug.membership;
--- a/wagtaillug-core/src/test/java/org/wagtaillug/membership/OwnershipSafetyTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/membership/OwnershipSafetyTest.java
@@ -15,13 +15,14 @@
 import org.wagtaillug.id.NodeId;
 import org.wagtaillug.log.LogRecord.RosterChange;
 import org.wagtaillug.log.LogRecord.RosterChangeKind;
-import org.wagtaillug.membership.RosterWorld.Machine;
+import org.wagtaillug.membership.RosterSimulation.SimulatedNode;
 import org.wagtaillug.node.Effects;
 
 /**
- * A cold upstream falls over under load that two nodes each thought small: both believed they owned it. It comes about
- * when views of the roster differ: a node is cut off from the log or paused past its lease while the others remove it, an
- * append takes place long after its answer was lost, the log goes down or slow, or a node comes back on the same VM.
+ * Guards against an overload of a cold upstream by two nodes that both consider themselves its owner. This comes about
+ * when views of the roster differ: a node is cut off from the log or paused past its lease while the others remove it,
+ * an append takes effect long after its response was lost, the log is unavailable or slow, or a node comes back on the
+ * same VM.
  */
 class OwnershipSafetyTest {
     private static final int RUNS = Integer.getInteger("wagtaillug.ownership.runs", 1_000);
@@ -29,25 +30,27 @@
     private static final List<String> DOMAINS = List.of("pl-a", "pl-b", "pl-c");
 
     @Test
-    void neverDoTwoNodesHoldAllowancesForOneUpstream() {
+    void twoNodesNeverGrantForOneUpstreamAtTheSameTime() {
         long grants = 0;
         for (long seed = FIRST_SEED; seed < FIRST_SEED + RUNS; seed++) {
-            RosterWorld world = storm(seed);
-            assertThat(world.violations).as("seed %s", seed).isEmpty();
-            grants += world.grantsSeen;
+            RosterSimulation simulation = runWithFaults(seed);
+            assertThat(simulation.violations).as("seed %s", seed).isEmpty();
+            grants += simulation.grantCount;
         }
-        assertThat(grants).as("the runs must not be safe by granting nothing").isGreaterThan(1_000L * RUNS);
+        assertThat(grants)
+                .as("grants seen, since runs without grants would prove nothing")
+                .isGreaterThan(1_000L * RUNS);
     }
 
     @Test
-    void afterAStormEveryUpstreamIsGrantedAgainByOneNode() {
+    void everyUpstreamIsGrantedAgainByOneNodeAfterFaults() {
         for (long seed = 1; seed <= 50; seed++) {
-            RosterWorld world = storm(seed);
-            world.heal(Duration.ofSeconds(90));
-            assertThat(world.violations).as("seed %s", seed).isEmpty();
-            for (Vm upstream : world.upstreams) {
-                long granting = world.machines.stream()
-                        .filter(machine -> !machine.dead && machine.members.mayGrant(upstream, machine.clock()))
+            RosterSimulation simulation = runWithFaults(seed);
+            simulation.heal(Duration.ofSeconds(90));
+            assertThat(simulation.violations).as("seed %s", seed).isEmpty();
+            for (Vm upstream : simulation.upstreams) {
+                long granting = simulation.nodes.stream()
+                        .filter(node -> !node.dead && node.members.mayGrant(upstream, node.clock()))
                         .count();
                 assertThat(granting).as("seed %s, %s", seed, upstream.id()).isEqualTo(1);
             }
@@ -55,8 +58,9 @@
     }
 
     /**
-     * The old owner's clock is 2 % slow and the new one's 2 % fast: the one believes in its lease for longer, the other
-     * thinks that its wait is over sooner. What the old one granted last must have lapsed all the same.
+     * The clock of the old owner is 2 % slow and that of the new one 2 % fast: the first considers its lease valid for
+     * longer, the second considers its wait over sooner. The last grant of the old owner must have expired all the
+     * same.
      */
     @Test
     void theHandoverOutlastsALeaseAndAGrantOnClocksOfDifferentRates() {
@@ -74,17 +78,17 @@
         oldLog.onLogRead(Instant.EPOCH, stream.read(1, 10), Instant.EPOCH, new Effects());
         oldLog.onLogRead(changed, stream.read(3, 10), changed, new Effects());
         Vm upstream = ownedBy(oldOwner);
-        NodeId leaver = Samples.node(1);
-        stream.append(new RosterChange(RosterChangeKind.LEAVE, leaver, leaver, Optional.empty()), changed);
+        NodeId leavingNode = Samples.node(1);
+        stream.append(new RosterChange(RosterChangeKind.LEAVE, leavingNode, leavingNode, Optional.empty()), changed);
         newLog.onLogRead(changed, stream.read(1, 10), changed, new Effects());
         long last = 0;
         while (last < 60_000
-                && oldOwner.mayGrant(upstream, changed.plusMillis((long) (last * (1 - RosterWorld.DRIFT))))) {
+                && oldOwner.mayGrant(upstream, changed.plusMillis((long) (last * (1 - RosterSimulation.DRIFT))))) {
             last++;
         }
         long first = 0;
         while (first < 60_000) {
-            Instant now = changed.plusMillis((long) (first * (1 + RosterWorld.DRIFT)));
+            Instant now = changed.plusMillis((long) (first * (1 + RosterSimulation.DRIFT)));
             newLog.onLogRead(now, stream.read(4, 10), now, new Effects());
             if (newOwner.mayGrant(upstream, now)) {
                 break;
@@ -93,7 +97,7 @@
         }
         assertThat(last).isBetween(Timing.LEASE.toMillis() + 1, 59_999L);
         assertThat(first - last)
-                .isGreaterThanOrEqualTo((long) (Timing.LONGEST_GRANT.toMillis() / (1 - RosterWorld.DRIFT)));
+                .isGreaterThanOrEqualTo((long) (Timing.LONGEST_GRANT.toMillis() / (1 - RosterSimulation.DRIFT)));
         assertThat(first).isLessThan(60_000);
     }
 
@@ -111,58 +115,58 @@
         }
     }
 
-    private static RosterWorld storm(long seed) {
-        RosterWorld world = new RosterWorld(seed);
-        int nodes = 3 + world.random.nextInt(3);
+    private static RosterSimulation runWithFaults(long seed) {
+        RosterSimulation simulation = new RosterSimulation(seed);
+        int nodes = 3 + simulation.random.nextInt(3);
         for (int upstream = 0; upstream < 4; upstream++) {
-            world.upstream("engine-" + upstream, DOMAINS.get(upstream % 3));
+            simulation.upstream("engine-" + upstream, DOMAINS.get(upstream % 3));
         }
         for (int node = 0; node < nodes; node++) {
-            world.start("entry-" + node, DOMAINS.get(world.random.nextInt(3)));
+            simulation.start("entry-" + node, DOMAINS.get(simulation.random.nextInt(3)));
         }
-        world.run(8_000);
+        simulation.run(8_000);
         for (int fault = 0; fault < 14; fault++) {
-            fault(world);
-            world.run(200 + world.random.nextInt(3_000));
+            injectFault(simulation);
+            simulation.run(200 + simulation.random.nextInt(3_000));
         }
-        return world;
+        return simulation;
     }
 
-    private static void fault(RosterWorld world) {
-        Random random = world.random;
-        Machine machine = world.machines.get(random.nextInt(world.machines.size()));
+    private static void injectFault(RosterSimulation simulation) {
+        Random random = simulation.random;
+        SimulatedNode node = simulation.nodes.get(random.nextInt(simulation.nodes.size()));
         long length = 500 + random.nextInt(10_000);
         switch (random.nextInt(9)) {
-            case 0 -> machine.pause(length);
+            case 0 -> node.pause(length);
             case 1 -> {
-                machine.cutFromLog = true;
-                world.after(length, () -> machine.cutFromLog = false);
+                node.cutOffFromLog = true;
+                simulation.after(length, () -> node.cutOffFromLog = false);
             }
             case 2, 3 -> {
-                machine.cutFromPeers = true;
-                world.after(length, () -> machine.cutFromPeers = false);
+                node.cutOffFromPeers = true;
+                simulation.after(length, () -> node.cutOffFromPeers = false);
             }
             case 4 -> {
-                world.logDown = true;
-                world.after(length, () -> world.logDown = false);
+                simulation.logDown = true;
+                simulation.after(length, () -> simulation.logDown = false);
             }
             case 5 -> {
-                world.logSilent = true;
-                world.after(length, () -> world.logSilent = false);
+                simulation.logUnresponsive = true;
+                simulation.after(length, () -> simulation.logUnresponsive = false);
             }
             case 6 -> {
-                world.logDelay = 1 + random.nextInt(2_500);
-                world.after(length, () -> world.logDelay = 5);
+                simulation.logDelay = 1 + random.nextInt(2_500);
+                simulation.after(length, () -> simulation.logDelay = 5);
             }
             case 7 -> {
-                // The old run may live on, paused, while a new one takes its VM.
-                machine.dead = random.nextBoolean();
-                machine.pause(length);
-                world.start(machine.id.vm().value(), DOMAINS.get(random.nextInt(3)));
+                // The old process may continue, paused, while a new one starts on the same VM.
+                node.dead = random.nextBoolean();
+                node.pause(length);
+                simulation.start(node.id.vm().value(), DOMAINS.get(random.nextInt(3)));
             }
             default -> {
-                world.lost = random.nextDouble() / 2;
-                world.after(length, () -> world.lost = 0);
+                simulation.lossRate = random.nextDouble() / 2;
+                simulation.after(length, () -> simulation.lossRate = 0);
             }
         }
     }
