--- a/wagtaillug-core/src/main/java/org/wagtaillug/grant/GrantOwner.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/grant/GrantOwner.java
@@ -202,13 +202,13 @@
 UpstreamAccount account = accounts.get ( vm.id ( ) );
 PoolContract contract = contract ( account );
 if ( ! isUsable ( vm ) ) {
-return account.emptyOffer ( demand , Timing.LONGEST_GRANT , contract , now );
+return account.emptyOffer ( demand , Timing.MAX_GRANT_LIFETIME , contract , now );
 }
 if ( ! checkMayGrant ( vm , account , now ) ) {
 return account.emptyOffer ( demand , Duration.ZERO , contract , now );
 }
 if ( ! member ) {
-return account.emptyOffer ( demand , Timing.LONGEST_GRANT , contract , now );
+return account.emptyOffer ( demand , Timing.MAX_GRANT_LIFETIME , contract , now );
 }
 return account.offer ( demand , holder , sequence , contract , now );
 }
@@ -228,7 +228,7 @@
 if ( holders.isEmpty ( ) ) {
 return;
 }
-GrantOffer nothing = new GrantOffer ( upstream , 0 , Timing.LONGEST_GRANT , account.cold ( contract ( account ) , now ) , account.report ( ) );
+GrantOffer nothing = new GrantOffer ( upstream , 0 , Timing.MAX_GRANT_LIFETIME , account.cold ( contract ( account ) , now ) , account.report ( ) );
 GrantReply reply = new GrantReply ( 0 , List.of ( nothing ) );
 Decision.Builder decision = Decision.builder ( "withdraw" ).field ( "upstream" , upstream ).field ( "reason" , reason );
 for ( NodeId holder : holders ) {
--- a/wagtaillug-core/src/main/java/org/wagtaillug/grant/HolderAccount.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/grant/HolderAccount.java
@@ -96,7 +96,7 @@
     void issue(long sequence, int allowed, Duration lifetime, Instant now) {
         if (allowed > 0) {
             withdrawn = false;
-            issued.add(new IssuedAllowance(sequence, allowed, now.plus(lifetime).plus(Timing.DRIFT)));
+            issued.add(new IssuedAllowance(sequence, allowed, now.plus(lifetime).plus(Timing.CLOCK_DRIFT)));
         }
     }
 
--- a/wagtaillug-core/src/main/java/org/wagtaillug/grant/UpstreamAccount.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/grant/UpstreamAccount.java
@@ -205,7 +205,7 @@
         List<HolderAccount> active = active(now);
         boolean turns = cold(contract, now) || limit < active.size();
         int allowed = turns ? turn(account, active, free, now) : warmShare(account, active, limit, free);
-        Duration lifetime = Timing.LONGEST_GRANT;
+        Duration lifetime = Timing.MAX_GRANT_LIFETIME;
         if (turns && allowed > 0) {
             lifetime = Duration.between(now, account.turnEnds());
         }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/membership/Members.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/membership/Members.java
@@ -41,7 +41,7 @@
  *   <li>A node grants only while it is {@link Standing#FRESH}: until {@link Timing#LEASE} after such a read was sent.
  *       So the old owner grants nothing later than a lease after {@code c} was appended, whether it runs, is cut off or
  *       was paused: the present time is an argument of {@link #mayGrant}, and a paused node asks again when it wakes.
- *   <li>An allowance expires at most {@link Timing#LONGEST_GRANT} after it was requested, and so after it was granted.
+ *   <li>An allowance expires at most {@link Timing#MAX_GRANT_LIFETIME} after it was requested, and so after it was granted.
  *   <li>The new owner reads {@code c} after it was appended, and grants only {@link Timing#HANDOVER} after that, which
  *       is the sum of both durations and an allowance for clocks of different rates.
  * </ol>
@@ -70,7 +70,7 @@
 private final Rendezvous rendezvous = new Rendezvous ( );
 private final OwnershipTracker ownershipTracker;
 private final StateRepair repair;
-private final RosterRegistration registration;
+private final RosterWriter rosterWriter;
 private final ProbedPeers probedPeers;
 
 private final Map < NodeId , Integer > removalCounts = new HashMap < > ( );
@@ -105,7 +105,7 @@
 this.seeds = List.copyOf ( seeds );
 this.ownershipTracker = new OwnershipTracker ( self , state );
 this.repair = new StateRepair ( log );
-this.registration = new RosterRegistration ( log );
+this.rosterWriter = new RosterWriter ( log );
 this.probedPeers = new ProbedPeers ( self , rendezvous );
 log.listener ( this );
 }
@@ -128,7 +128,7 @@
 public void onTick ( Instant now , Effects effects ) {
 detectPause ( now );
 refreshProbedPeers ( now , effects );
-registration.onTick ( hearsMajority ( now ) , now , effects );
+rosterWriter.onTick ( hearsMajority ( now ) , now , effects );
 repair.onTick ( now , effects );
 if ( probedAt.isPresent ( ) && now.isBefore ( probedAt.get ( ).plus ( Timing.PROBE_PERIOD ) ) ) {
 return;
@@ -219,7 +219,7 @@
 }
 peer.removalRequested ( now );
 removalCounts.merge ( peer.node ( ).get ( ) , 1 , Integer :: sum );
-registration.remove ( peer.node ( ).get ( ) , effects );
+rosterWriter.remove ( peer.node ( ).get ( ) , effects );
 }
 }
 
@@ -314,12 +314,12 @@
 
 /** Handles the success of an append. Returns whether the append was one of the membership. */
 public boolean onAppended ( long append , long offset , Instant now , Effects effects ) {
-return registration.appendEnded ( append );
+return rosterWriter.appendEnded ( append );
 }
 
 /** Handles the failure of an append. Returns whether the append was one of the membership. */
 public boolean onAppendFailed ( long append , boolean mayTakeEffect , Instant now , Effects effects ) {
-return registration.appendEnded ( append );
+return rosterWriter.appendEnded ( append );
 }
 
 /** The other members of the roster and what this node knows of them. */
@@ -349,7 +349,7 @@
 
 /** Leaves the roster permanently: grants nothing from now on, and does not join again. */
 public void leave ( Instant now , Effects effects ) {
-registration.leave ( now , effects );
+rosterWriter.leave ( now , effects );
 }
 
 /**
@@ -422,7 +422,7 @@
 }
 
 @Override public boolean mayGrant ( Vm upstream , Instant now ) {
-if ( registration.leaving ( ) || standing ( now ) != Standing.FRESH ) {
+if ( rosterWriter.leaving ( ) || standing ( now ) != Standing.FRESH ) {
 return false;
 }
 Optional < OwnershipTracker.OwnershipPeriod > ownershipPeriod = ownershipTracker.ownershipPeriod ( upstream );
--- a/wagtaillug-core/src/main/java/org/wagtaillug/membership/PeerView.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/membership/PeerView.java
@@ -10,7 +10,7 @@
  *
  * @param node its id
  * @param domain its failure domain
- * @param watched whether this node probes it; of other members it knows only that they are in the roster
+ * @param probed whether this node probes it; of other members it knows only that they are in the roster
  * @param heard whether it answered within the timeout
  * @param silence how long it has not answered; empty if it is not probed
  * @param through the offset up to which it reported having read the control stream; 0 if it never reported one
@@ -20,7 +20,7 @@
 public record PeerView(
         NodeId node,
         DomainId domain,
-        boolean watched,
+        boolean probed,
         boolean heard,
         Optional<Duration> silence,
         long through,
--- a/wagtaillug-core/src/main/java/org/wagtaillug/membership/RosterRegistration.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/membership/RosterWriter.java
@@ -16,7 +16,7 @@
 import org.wagtaillug.node.Effects;
 
 /** Appends the roster records of this node: its own joins and its leave, and removals of other nodes. */
-final class RosterRegistration {
+final class RosterWriter {
     private static final Duration JOIN_RETRY_INTERVAL = Duration.ofSeconds(2);
     private static final Duration MIN_REJOIN_DELAY = Duration.ofMillis(500);
     private static final Duration MAX_REJOIN_DELAY = Duration.ofSeconds(60);
@@ -32,7 +32,7 @@
     private boolean leaving;
     private boolean supersededLogged;
 
-    RosterRegistration(ControlLog log) {
+    RosterWriter(ControlLog log) {
         this.log = log;
         this.self = log.self();
     }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/grant/GrantOwnerTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/grant/GrantOwnerTest.java
@@ -84,7 +84,7 @@
         GrantOffer warm = ask(9, 4, false);
         assertThat(warm.cold()).isFalse();
         assertThat(warm.allowed()).isEqualTo(4);
-        assertThat(warm.lifetime()).isEqualTo(Timing.LONGEST_GRANT);
+        assertThat(warm.lifetime()).isEqualTo(Timing.MAX_GRANT_LIFETIME);
         assertThat(ask(9, 7, false).allowed()).isEqualTo(4);
         assertThat(ask(9, 8, false).allowed()).isEqualTo(8);
         assertThat(ask(9, 999, false).allowed()).isEqualTo(8);
@@ -254,7 +254,7 @@
     @Test
     void aHoldersOldSuccessesAreNoEvidence() {
         UpstreamGrant grant = new UpstreamGrant(vm(false));
-        grant.apply(new GrantOffer(ID, 4, Timing.LONGEST_GRANT, false, Optional.empty()), HOLDER, now, now);
+        grant.apply(new GrantOffer(ID, 4, Timing.MAX_GRANT_LIFETIME, false, Optional.empty()), HOLDER, now, now);
         grant.started();
         grant.finished(Finish.SUCCEEDED, now);
         assertThat(grant.demand(1, now.plusSeconds(30)).succeeded()).isEqualTo(1);
@@ -268,9 +268,9 @@
     @Test
     void anAnswerOfTheProcessBeforeIsNoEvidence() {
         UpstreamGrant grant = new UpstreamGrant(vm(false));
-        grant.apply(new GrantOffer(ID, 2, Timing.LONGEST_GRANT, true, startedAt(1)), HOLDER, now, now);
+        grant.apply(new GrantOffer(ID, 2, Timing.MAX_GRANT_LIFETIME, true, startedAt(1)), HOLDER, now, now);
         grant.started();
-        grant.apply(new GrantOffer(ID, 2, Timing.LONGEST_GRANT, true, startedAt(2)), HOLDER, now, now);
+        grant.apply(new GrantOffer(ID, 2, Timing.MAX_GRANT_LIFETIME, true, startedAt(2)), HOLDER, now, now);
         grant.finished(Finish.SUCCEEDED, now);
         assertThat(grant.demand(1, now).succeeded()).isZero();
         grant.started();
--- a/wagtaillug-core/src/test/java/org/wagtaillug/membership/OwnershipSafetyTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/membership/OwnershipSafetyTest.java
@@ -83,12 +83,13 @@
         newLog.onLogRead(changed, stream.read(1, 10), changed, new Effects());
         long last = 0;
         while (last < 60_000
-                && oldOwner.mayGrant(upstream, changed.plusMillis((long) (last * (1 - RosterSimulation.DRIFT))))) {
+                && oldOwner.mayGrant(
+                        upstream, changed.plusMillis((long) (last * (1 - RosterSimulation.MAX_CLOCK_DRIFT))))) {
             last++;
         }
         long first = 0;
         while (first < 60_000) {
-            Instant now = changed.plusMillis((long) (first * (1 + RosterSimulation.DRIFT)));
+            Instant now = changed.plusMillis((long) (first * (1 + RosterSimulation.MAX_CLOCK_DRIFT)));
             newLog.onLogRead(now, stream.read(4, 10), now, new Effects());
             if (newOwner.mayGrant(upstream, now)) {
                 break;
@@ -96,8 +97,8 @@
             first++;
         }
         assertThat(last).isBetween(Timing.LEASE.toMillis() + 1, 59_999L);
-        assertThat(first - last)
-                .isGreaterThanOrEqualTo((long) (Timing.LONGEST_GRANT.toMillis() / (1 - RosterSimulation.DRIFT)));
+        assertThat(first - last).isGreaterThanOrEqualTo((long)
+                (Timing.MAX_GRANT_LIFETIME.toMillis() / (1 - RosterSimulation.MAX_CLOCK_DRIFT)));
         assertThat(first).isLessThan(60_000);
     }
 
--- a/wagtaillug-core/src/test/java/org/wagtaillug/membership/RosterSimulation.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/membership/RosterSimulation.java
@@ -23,7 +23,7 @@
 /** Simulates a few nodes, a log and the links between them as a sequence of events; all times are in milliseconds. */
 final class RosterSimulation {
     /** The maximum deviation of the clock rate in either direction. */
-    static final double DRIFT = 0.02;
+    static final double MAX_CLOCK_DRIFT = 0.02;
 
     private static final long TICK = 100;
     private static final long TAIL_READ_WAIT = 500;
@@ -62,7 +62,7 @@
         final ControlLog control;
         final Members members;
         final Effects effects = new Effects();
-        final double rate = 1 + (2 * random.nextDouble() - 1) * DRIFT;
+        final double rate = 1 + (2 * random.nextDouble() - 1) * MAX_CLOCK_DRIFT;
         final long offset = random.nextInt(1_000_000);
         final List<Runnable> backlog = new ArrayList<>();
         long pausedUntil;
@@ -158,7 +158,7 @@
             grantCount++;
             Map<NodeId, Long> lastGrantByNode = lastGrants.computeIfAbsent(upstream.id(), vm -> new HashMap<>());
             lastGrantByNode.put(node.id, time);
-            double lifetime = Timing.LONGEST_GRANT.toMillis() * (1 + DRIFT);
+            double lifetime = Timing.MAX_GRANT_LIFETIME.toMillis() * (1 + MAX_CLOCK_DRIFT);
             for (Map.Entry<NodeId, Long> other : lastGrantByNode.entrySet()) {
                 boolean valid = time - other.getValue() < lifetime;
                 if (valid && !other.getKey().equals(node.id)) {
