--- a/wagtaillug-benchmarks/src/main/java/org/wagtaillug/benchmarks/Fleet.java
+++ b/wagtaillug-benchmarks/src/main/java/org/wagtaillug/benchmarks/Fleet.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
-import org.wagtaillug.grant.Finish;
+import org.wagtaillug.grant.UpstreamOutcome;
 import org.wagtaillug.health.LoadReport;
 import org.wagtaillug.id.DomainId;
 import org.wagtaillug.id.PoolId;
@@ -72,7 +72,7 @@
     }
 
     @Override
-    public void finished(VmId upstream, Finish finish, Duration took, Instant now) {
+    public void finished(VmId upstream, UpstreamOutcome finish, Duration took, Instant now) {
         // Not measured here.
     }
 
--- a/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/Dispatcher.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/Dispatcher.java
@@ -16,8 +16,8 @@
 import org.wagtaillug.contract.Stage;
 import org.wagtaillug.contract.StageWork;
 import org.wagtaillug.drain.Drain;
-import org.wagtaillug.grant.Finish;
 import org.wagtaillug.grant.GrantOwner;
+import org.wagtaillug.grant.UpstreamOutcome;
 import org.wagtaillug.id.AttemptId;
 import org.wagtaillug.id.PoolId;
 import org.wagtaillug.id.RequestId;
@@ -231,16 +231,16 @@
      * What an end says of the upstream. Only an attempt that fell silent may still be running there; a refused, reset or
      * useless one is over, and may mean that the upstream has just started.
      */
-    private static Finish finish(LiveAttempt live, AttemptEnd end) {
+    private static UpstreamOutcome finish(LiveAttempt live, AttemptEnd end) {
         if (live.stalled()) {
-            return Finish.FAILED;
+            return UpstreamOutcome.FAILED;
         }
         return switch (end) {
-            case AttemptEnd.Completed ignored -> Finish.SUCCEEDED;
-            case AttemptEnd.Overloaded ignored -> Finish.OVERLOADED;
-            case AttemptEnd.Rejected ignored -> Finish.CANCELLED;
-            case AttemptEnd.Failed ignored -> live.cancelled() ? Finish.CANCELLED : Finish.OVERLOADED;
-            case AttemptEnd.NotStarted ignored -> Finish.CANCELLED;
+            case AttemptEnd.Completed ignored -> UpstreamOutcome.SUCCEEDED;
+            case AttemptEnd.Overloaded ignored -> UpstreamOutcome.OVERLOADED;
+            case AttemptEnd.Rejected ignored -> UpstreamOutcome.CANCELLED;
+            case AttemptEnd.Failed ignored -> live.cancelled() ? UpstreamOutcome.CANCELLED : UpstreamOutcome.OVERLOADED;
+            case AttemptEnd.NotStarted ignored -> UpstreamOutcome.CANCELLED;
         };
     }
 
--- a/wagtaillug-core/src/main/java/org/wagtaillug/grant/GrantHolder.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/grant/GrantHolder.java
@@ -34,7 +34,7 @@
  * holder.onTick(now, effects);
  * if (holder.start(upstream, now)) {
  *     // send before holder.startBefore(upstream, now), and when the attempt ends:
- *     holder.finished(upstream, Finish.SUCCEEDED, now);
+ *     holder.finished(upstream, UpstreamOutcome.SUCCEEDED, now);
  * }
  * }</pre>
  *
@@ -364,10 +364,10 @@
     }
 
     /** Records the end of an attempt that was started at an upstream. */
-    public void finished(VmId upstream, Finish finish, Instant now) {
+    public void finished(VmId upstream, UpstreamOutcome outcome, Instant now) {
         UpstreamGrant grant = grants.get(upstream);
         if (grant != null) {
-            grant.finished(finish, now);
+            grant.finished(outcome, now);
         }
     }
 
--- a/wagtaillug-core/src/main/java/org/wagtaillug/grant/UpstreamGrant.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/grant/UpstreamGrant.java
@@ -102,14 +102,14 @@
      * an attempt may run. News of a restart does not free the slot, since the attempt may have begun after that
      * restart.
      */
-    void finished(Finish finish, Instant now) {
+    void finished(UpstreamOutcome outcome, Instant now) {
         if (inFlight == 0) {
             return;
         }
         inFlight--;
         boolean ofCurrentProcess = startedBeforeRestart == 0;
         startedBeforeRestart = Math.max(0, startedBeforeRestart - 1);
-        switch (finish) {
+        switch (outcome) {
             case SUCCEEDED -> {
                 succeeded += ofCurrentProcess ? 1 : 0;
                 evidenceAt = now;
@@ -122,7 +122,7 @@
             case CANCELLED -> {
                 // No evidence about the upstream.
             }
-            default -> throw new IllegalStateException("unknown finish " + finish);
+            default -> throw new IllegalStateException("unknown outcome " + outcome);
         }
     }
 
--- a/wagtaillug-core/src/main/java/org/wagtaillug/grant/Finish.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/grant/UpstreamOutcome.java
@@ -1,7 +1,7 @@
 package org.wagtaillug.grant;
 
 /** How an attempt at an upstream ended, as far as the load on the upstream is concerned. */
-public enum Finish {
+public enum UpstreamOutcome {
     /** The complete response was received: evidence that the upstream can take its load. */
     SUCCEEDED,
     /**
--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/BaselineUpstreams.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/BaselineUpstreams.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import org.wagtaillug.grant.Finish;
+import org.wagtaillug.grant.UpstreamOutcome;
 import org.wagtaillug.health.LoadReport;
 import org.wagtaillug.id.PoolId;
 import org.wagtaillug.id.VmId;
@@ -59,7 +59,7 @@
     }
 
     @Override
-    public void finished(VmId upstream, Finish finish, Duration took, Instant now) {
+    public void finished(VmId upstream, UpstreamOutcome finish, Duration took, Instant now) {
         inFlight.merge(upstream, -1, Integer::sum);
     }
 
--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/GrantedUpstreams.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/GrantedUpstreams.java
@@ -4,8 +4,8 @@
 import java.time.Instant;
 import java.util.List;
 import java.util.Optional;
-import org.wagtaillug.grant.Finish;
 import org.wagtaillug.grant.GrantHolder;
+import org.wagtaillug.grant.UpstreamOutcome;
 import org.wagtaillug.health.FirstProgress;
 import org.wagtaillug.health.LoadReport;
 import org.wagtaillug.health.UpstreamHealth;
@@ -66,7 +66,7 @@
     }
 
     @Override
-    public void finished(VmId upstream, Finish finish, Duration took, Instant now) {
+    public void finished(VmId upstream, UpstreamOutcome finish, Duration took, Instant now) {
         holder.finished(upstream, finish, now);
         Optional<Vm> vm = directory.find(upstream);
         if (vm.isEmpty()) {
--- a/wagtaillug-core/src/main/java/org/wagtaillug/routing/Upstreams.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/routing/Upstreams.java
@@ -4,7 +4,7 @@
 import java.time.Instant;
 import java.util.List;
 import java.util.Optional;
-import org.wagtaillug.grant.Finish;
+import org.wagtaillug.grant.UpstreamOutcome;
 import org.wagtaillug.health.LoadReport;
 import org.wagtaillug.id.PoolId;
 import org.wagtaillug.id.VmId;
@@ -31,7 +31,7 @@
     void progressed(VmId upstream, Duration sinceStart, Instant now);
 
     /** Gives the right back and notes how it went. */
-    void finished(VmId upstream, Finish finish, Duration took, Instant now);
+    void finished(VmId upstream, UpstreamOutcome finish, Duration took, Instant now);
 
     /** Says how many attempts would be in flight in a pool if nothing held them back. */
     void want(PoolId pool, int attempts);
--- a/wagtaillug-core/src/test/java/org/wagtaillug/dispatch/FakeUpstreams.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/dispatch/FakeUpstreams.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.wagtaillug.grant.Finish;
+import org.wagtaillug.grant.UpstreamOutcome;
 import org.wagtaillug.health.LoadReport;
 import org.wagtaillug.id.DomainId;
 import org.wagtaillug.id.PoolId;
@@ -79,7 +79,7 @@
     public void progressed(VmId upstream, Duration sinceStart, Instant now) {}
 
     @Override
-    public void finished(VmId upstream, Finish finish, Duration took, Instant now) {
+    public void finished(VmId upstream, UpstreamOutcome finish, Duration took, Instant now) {
         inFlight.merge(upstream, -1, Integer::sum);
         finishes.add(upstream + " " + finish);
     }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/grant/GrantHolderTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/grant/GrantHolderTest.java
@@ -147,7 +147,7 @@
             assertThat(each.inUse()).isEqualTo(1);
             assertThat(each.wanted()).isZero();
         });
-        holder.finished(ID, Finish.SUCCEEDED, START.plusMillis(600));
+        holder.finished(ID, UpstreamOutcome.SUCCEEDED, START.plusMillis(600));
         reply(ask, 0, Duration.ofSeconds(2), START.plusMillis(600));
         assertThat(asked(OWNER, START.plusMillis(700)).demands()).isEmpty();
     }
@@ -160,7 +160,7 @@
     void keepsTheSlotOfASilentRequest() {
         reply(asked(OWNER, START), 1, Duration.ofMillis(500), START);
         holder.start(ID, START);
-        holder.finished(ID, Finish.FAILED, START);
+        holder.finished(ID, UpstreamOutcome.FAILED, START);
         GrantAsk ask = asked(OWNER, START.plusMillis(500));
         assertThat(ask.demands().get(0).failed()).isTrue();
         assertThat(ask.demands().get(0).inUse()).isEqualTo(1);
--- a/wagtaillug-core/src/test/java/org/wagtaillug/grant/GrantLivenessTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/grant/GrantLivenessTest.java
@@ -101,7 +101,7 @@
         assertThat(member.holder.startBefore(UPSTREAM, member.clock())).isAfter(member.clock());
         Instant afterPause = member.clock().plusMillis(600);
         assertThat(member.holder.startBefore(UPSTREAM, afterPause)).isEqualTo(afterPause);
-        member.holder.finished(UPSTREAM, Finish.OVERLOADED, member.clock());
+        member.holder.finished(UPSTREAM, UpstreamOutcome.OVERLOADED, member.clock());
         assertThat(member.holder.available(UPSTREAM, member.clock())).isZero();
     }
 
--- a/wagtaillug-core/src/test/java/org/wagtaillug/grant/GrantOwnerTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/grant/GrantOwnerTest.java
@@ -256,7 +256,7 @@
         UpstreamGrant grant = new UpstreamGrant(vm(false));
         grant.apply(new GrantOffer(ID, 4, Timing.MAX_GRANT_LIFETIME, false, Optional.empty()), HOLDER, now, now);
         grant.started();
-        grant.finished(Finish.SUCCEEDED, now);
+        grant.finished(UpstreamOutcome.SUCCEEDED, now);
         assertThat(grant.demand(1, now.plusSeconds(30)).succeeded()).isEqualTo(1);
         assertThat(grant.demand(1, now.plusSeconds(31)).succeeded()).isZero();
     }
@@ -271,10 +271,10 @@
         grant.apply(new GrantOffer(ID, 2, Timing.MAX_GRANT_LIFETIME, true, startedAt(1)), HOLDER, now, now);
         grant.started();
         grant.apply(new GrantOffer(ID, 2, Timing.MAX_GRANT_LIFETIME, true, startedAt(2)), HOLDER, now, now);
-        grant.finished(Finish.SUCCEEDED, now);
+        grant.finished(UpstreamOutcome.SUCCEEDED, now);
         assertThat(grant.demand(1, now).succeeded()).isZero();
         grant.started();
-        grant.finished(Finish.SUCCEEDED, now);
+        grant.finished(UpstreamOutcome.SUCCEEDED, now);
         assertThat(grant.demand(1, now).succeeded()).isEqualTo(1);
     }
 
--- a/wagtaillug-core/src/test/java/org/wagtaillug/grant/GrantSimulation.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/grant/GrantSimulation.java
@@ -125,7 +125,7 @@
 case 3 -> at ( time , upstream :: restart );
 case 4 -> at ( time , this :: changeOwner );
 default -> {
- // no fault
+// no fault
 }
 }
 }
@@ -263,21 +263,21 @@
 return;
 }
 if ( ! clock ( ).isBefore ( startBefore ) ) {
-execute ( ( ) -> end ( attempt , Finish.CANCELLED ) );
+execute ( ( ) -> end ( attempt , UpstreamOutcome.CANCELLED ) );
 return;
 }
 after ( 1 + random.nextInt ( 5 ) , ( ) -> upstream.arrive ( attempt ) );
 }
 
-private void end ( Attempt attempt , Finish finish ) {
+private void end ( Attempt attempt , UpstreamOutcome outcome ) {
 if ( holder != attempt.holder ( ) ) {
 return;
 }
 running --;
-if ( finish == Finish.SUCCEEDED ) {
+if ( outcome == UpstreamOutcome.SUCCEEDED ) {
 served ++;
 }
-holder.finished ( UPSTREAM , finish , clock ( ) );
+holder.finished ( UPSTREAM , outcome , clock ( ) );
 }
 
 private void applyEffects ( ) {
@@ -402,7 +402,7 @@
 
 private void arrive ( Attempt attempt ) {
 if ( now < downUntil ) {
-after ( 2 , ( ) -> attempt.member ( ).execute ( ( ) -> attempt.member ( ).end ( attempt , Finish.OVERLOADED ) ) );
+after ( 2 , ( ) -> attempt.member ( ).execute ( ( ) -> attempt.member ( ).end ( attempt , UpstreamOutcome.OVERLOADED ) ) );
 return;
 }
 inFlight.add ( attempt );
@@ -413,7 +413,7 @@
 boolean silent = faults && random.nextInt ( silentRequestInterval ) == 0;
 after ( work , ( ) -> finish ( attempt , arrivalProcess , silent ) );
 if ( silent ) {
-after ( 2000 , ( ) -> attempt.member ( ).execute ( ( ) -> attempt.member ( ).end ( attempt , Finish.FAILED ) ) );
+after ( 2000 , ( ) -> attempt.member ( ).execute ( ( ) -> attempt.member ( ).end ( attempt , UpstreamOutcome.FAILED ) ) );
 }
 }
 
@@ -445,14 +445,14 @@
 inFlight.remove ( attempt );
 successes ++;
 if ( ! silent ) {
-after ( 1 + random.nextInt ( 5 ) , ( ) -> attempt.member ( ).execute ( ( ) -> attempt.member ( ).end ( attempt , Finish.SUCCEEDED ) ) );
+after ( 1 + random.nextInt ( 5 ) , ( ) -> attempt.member ( ).execute ( ( ) -> attempt.member ( ).end ( attempt , UpstreamOutcome.SUCCEEDED ) ) );
 }
 }
 
 void restart ( ) {
 process ++;
 for ( Attempt each : inFlight ) {
-after ( 1 + random.nextInt ( 5 ) , ( ) -> each.member ( ).execute ( ( ) -> each.member ( ).end ( each , Finish.OVERLOADED ) ) );
+after ( 1 + random.nextInt ( 5 ) , ( ) -> each.member ( ).execute ( ( ) -> each.member ( ).end ( each , UpstreamOutcome.OVERLOADED ) ) );
 }
 inFlight.clear ( );
 successes = 0;
