--- a/wagtaillug-core/src/main/java/org/wagtaillug/membership/Members.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/membership/Members.java
@@ -38,7 +38,7 @@
  *       confirms the view of this node: the confirmed time is when this node sent its probe, less the age that the
  *       peer's read had when the probe arrived, so it is not later than when the peer's read was sent, and the position
  *       of the peer is not beyond that of this node.
- *   <li>A node grants only while it is {@link Standing#FRESH}: until {@link Timing#LEASE} after such a read was sent.
+ *   <li>A node grants only while it is {@link ViewStatus#FRESH}: until {@link Timing#LEASE} after such a read was sent.
  *       So the old owner grants nothing later than a lease after {@code c} was appended, whether it runs, is cut off or
  *       was paused: the present time is an argument of {@link #mayGrant}, and a paused node asks again when it wakes.
  *   <li>An allowance expires at most {@link Timing#MAX_GRANT_LIFETIME} after it was requested, and so after it was granted.
@@ -365,15 +365,15 @@
 }
 
 /** What this node may assume about its view of the control stream now. */
-public Standing standing ( Instant now ) {
+public ViewStatus viewStatus ( Instant now ) {
 if ( ! log.complete ( ) ) {
-return Standing.STARTING;
+return ViewStatus.STARTING;
 }
 Optional < Instant > until = freshUntil ( );
 if ( until.isPresent ( ) && now.isBefore ( until.get ( ) ) ) {
-return Standing.FRESH;
+return ViewStatus.FRESH;
 }
-return isLogOutage ( now ) ? Standing.LOG_OUTAGE : Standing.CUT_OFF;
+return isLogOutage ( now ) ? ViewStatus.LOG_OUTAGE : ViewStatus.CUT_OFF;
 }
 
 /**
@@ -422,7 +422,7 @@
 }
 
 @Override public boolean mayGrant ( Vm upstream , Instant now ) {
-if ( rosterWriter.leaving ( ) || standing ( now ) != Standing.FRESH ) {
+if ( rosterWriter.leaving ( ) || viewStatus ( now ) != ViewStatus.FRESH ) {
 return false;
 }
 Optional < OwnershipTracker.OwnershipPeriod > ownershipPeriod = ownershipTracker.ownershipPeriod ( upstream );
--- a/wagtaillug-core/src/main/java/org/wagtaillug/membership/Standing.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/membership/ViewStatus.java
@@ -1,7 +1,7 @@
 package org.wagtaillug.membership;
 
 /** What a node may assume about its own view of the control stream. */
-public enum Standing {
+public enum ViewStatus {
     /** The node does not have the complete control state yet. */
     STARTING,
     /** The node has read every record that was in the log one lease ago. */
--- a/wagtaillug-core/src/test/java/org/wagtaillug/membership/MembersTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/membership/MembersTest.java
@@ -131,8 +131,8 @@
 now = now.plusMillis ( 700 );
 answer ( 2 , own ( ) , Duration.ofMillis ( 300 ) , true );
 assertThat ( members.freshUntil ( ) ).contains ( sent.minusMillis ( 300 ).plus ( Timing.LEASE ) );
-assertThat ( members.standing ( sent.plusMillis ( 2_699 ) ) ).isEqualTo ( Standing.FRESH );
-assertThat ( members.standing ( sent.plusMillis ( 2_700 ) ) ).isNotEqualTo ( Standing.FRESH );
+assertThat ( members.viewStatus ( sent.plusMillis ( 2_699 ) ) ).isEqualTo ( ViewStatus.FRESH );
+assertThat ( members.viewStatus ( sent.plusMillis ( 2_700 ) ) ).isNotEqualTo ( ViewStatus.FRESH );
 }
 
 @Test void aPeerThatIsAheadOrDiffersOrAnswersAnotherProbeDoesNotConfirm ( ) {
@@ -171,18 +171,18 @@
      * The replies of the peers make the difference.
      */
 @Test void distinguishesALogOutageFromBeingCutOff ( ) {
-assertThat ( members.standing ( now ) ).isEqualTo ( Standing.STARTING );
+assertThat ( members.viewStatus ( now ) ).isEqualTo ( ViewStatus.STARTING );
 roster ( 5 );
-assertThat ( members.standing ( now ) ).isEqualTo ( Standing.FRESH );
+assertThat ( members.viewStatus ( now ) ).isEqualTo ( ViewStatus.FRESH );
 tick ( 4_000 );
-assertThat ( members.standing ( now ) ).isEqualTo ( Standing.CUT_OFF );
+assertThat ( members.viewStatus ( now ) ).isEqualTo ( ViewStatus.CUT_OFF );
 answer ( 2 , own ( ) , Duration.ofSeconds ( 5 ) , false );
-assertThat ( members.standing ( now ) ).isEqualTo ( Standing.CUT_OFF );
+assertThat ( members.viewStatus ( now ) ).isEqualTo ( ViewStatus.CUT_OFF );
 answer ( 3 , own ( ) , null , false );
-assertThat ( members.standing ( now ) ).as ( "hears two of its four peers" ).isEqualTo ( Standing.LOG_OUTAGE );
+assertThat ( members.viewStatus ( now ) ).as ( "hears two of its four peers" ).isEqualTo ( ViewStatus.LOG_OUTAGE );
 tick ( 500 );
 answer ( 4 , new Position ( state.through ( ) + 1 , 0 ) , Duration.ofSeconds ( 5 ) , false );
-assertThat ( members.standing ( now ) ).as ( "a peer has read one record more" ).isEqualTo ( Standing.CUT_OFF );
+assertThat ( members.viewStatus ( now ) ).as ( "a peer has read one record more" ).isEqualTo ( ViewStatus.CUT_OFF );
 tick ( 50 );
 assertThat ( asks ( new VmId ( "entry-4" ) ) ).isTrue ( );
 }
@@ -190,7 +190,7 @@
 @Test void aSingleNodeContinuesDuringALogOutage ( ) {
 roster ( 1 );
 tick ( 4_000 );
-assertThat ( members.standing ( now ) ).isEqualTo ( Standing.LOG_OUTAGE );
+assertThat ( members.viewStatus ( now ) ).isEqualTo ( ViewStatus.LOG_OUTAGE );
 assertThat ( members.mayGrant ( UPSTREAM , now ) ).isFalse ( );
 }
 
@@ -212,9 +212,9 @@
 assertThat ( cold.complete ( ) ).as ( "the state was not requested from this peer" ).isFalse ( );
 late.onPeerMessage ( node ( 2 ) , reply , now , effects );
 assertThat ( cold.complete ( ) ).isTrue ( );
-assertThat ( late.standing ( now ) ).isEqualTo ( Standing.CUT_OFF );
+assertThat ( late.viewStatus ( now ) ).isEqualTo ( ViewStatus.CUT_OFF );
 late.onTick ( now , effects );
-assertThat ( late.standing ( now ) ).as ( "hears only one of three nodes" ).isEqualTo ( Standing.CUT_OFF );
+assertThat ( late.viewStatus ( now ) ).as ( "hears only one of three nodes" ).isEqualTo ( ViewStatus.CUT_OFF );
 }
 
 @Test void removesASilentPeerWhileItHearsAMajority ( ) {
--- a/wagtaillug-core/src/test/java/org/wagtaillug/membership/StandingTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/membership/ViewStatusTest.java
@@ -13,7 +13,7 @@
 import org.wagtaillug.membership.RosterSimulation.SimulatedNode;
 
 /** Nine nodes in three failure domains, and what each assumes about its view while the log or the links fail. */
-class StandingTest {
+class ViewStatusTest {
     private final RosterSimulation simulation = new RosterSimulation(7);
 
     private void startNine() {
@@ -21,21 +21,21 @@
             simulation.start("entry-" + node, List.of("pl-a", "pl-b", "pl-c").get(node % 3));
         }
         simulation.run(10_000);
-        assertThat(simulation.nodes).allMatch(node -> standing(node) == Standing.FRESH);
+        assertThat(simulation.nodes).allMatch(node -> viewStatus(node) == ViewStatus.FRESH);
     }
 
-    private static Standing standing(SimulatedNode node) {
-        return node.members.standing(node.clock());
+    private static ViewStatus viewStatus(SimulatedNode node) {
+        return node.members.viewStatus(node.clock());
     }
 
-    /** How often each standing was seen at the selected nodes, sampled every 10 ms. */
-    private Map<Standing, Integer> sample(long length, Predicate<SimulatedNode> selected) {
-        Map<Standing, Integer> counts = new EnumMap<>(Standing.class);
+    /** How often each status was seen at the selected nodes, sampled every 10 ms. */
+    private Map<ViewStatus, Integer> sample(long length, Predicate<SimulatedNode> selected) {
+        Map<ViewStatus, Integer> counts = new EnumMap<>(ViewStatus.class);
         for (long end = simulation.time + length; simulation.time < end; ) {
             simulation.run(10);
             for (SimulatedNode node : simulation.nodes) {
                 if (selected.test(node)) {
-                    counts.merge(standing(node), 1, Integer::sum);
+                    counts.merge(viewStatus(node), 1, Integer::sum);
                 }
             }
         }
@@ -53,11 +53,11 @@
         startNine();
         simulation.logDown = !unresponsive;
         simulation.logUnresponsive = unresponsive;
-        assertThat(sample(30_000, node -> true)).containsOnlyKeys(Standing.FRESH, Standing.LOG_OUTAGE);
+        assertThat(sample(30_000, node -> true)).containsOnlyKeys(ViewStatus.FRESH, ViewStatus.LOG_OUTAGE);
         simulation.logDown = false;
         simulation.logUnresponsive = false;
-        assertThat(sample(10_000, node -> true)).containsOnlyKeys(Standing.FRESH, Standing.LOG_OUTAGE);
-        assertThat(simulation.nodes).allMatch(node -> standing(node) == Standing.FRESH);
+        assertThat(sample(10_000, node -> true)).containsOnlyKeys(ViewStatus.FRESH, ViewStatus.LOG_OUTAGE);
+        assertThat(simulation.nodes).allMatch(node -> viewStatus(node) == ViewStatus.FRESH);
     }
 
     /**
@@ -67,7 +67,7 @@
     void aSlowLogCutsNoNodeOff() {
         startNine();
         simulation.logDelay = 4_000;
-        assertThat(sample(60_000, node -> true)).containsOnlyKeys(Standing.FRESH, Standing.LOG_OUTAGE);
+        assertThat(sample(60_000, node -> true)).containsOnlyKeys(ViewStatus.FRESH, ViewStatus.LOG_OUTAGE);
     }
 
     /** A single node, or a whole domain, loses the log and the other nodes while operators continue to make changes. */
@@ -79,8 +79,8 @@
                 node -> simulation.nodes.indexOf(node) % 3 == 0 && simulation.nodes.indexOf(node) / 3 < count;
         simulation.isolate(isolated);
         simulation.run(6_000);
-        assertThat(sample(5_000, isolated)).containsOnlyKeys(Standing.CUT_OFF);
-        assertThat(sample(5_000, isolated.negate())).containsOnlyKeys(Standing.FRESH);
+        assertThat(sample(5_000, isolated)).containsOnlyKeys(ViewStatus.CUT_OFF);
+        assertThat(sample(5_000, isolated.negate())).containsOnlyKeys(ViewStatus.FRESH);
     }
 
     /**
@@ -95,7 +95,7 @@
         simulation.run(5_000);
         simulation.log.append(Samples.change("anita", "c", 0, Samples.service(true)), nodeWithoutLog.clock());
         simulation.run(2_000);
-        assertThat(standing(nodeWithoutLog)).isEqualTo(Standing.FRESH);
+        assertThat(viewStatus(nodeWithoutLog)).isEqualTo(ViewStatus.FRESH);
         assertThat(simulation.nodes).allMatch(node -> !node.state.inService(Samples.upstream("engine-1", "pl-a")));
     }
 }
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/administration/Views.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/administration/Views.java
@@ -16,7 +16,7 @@
 import org.wagtaillug.id.VmId;
 import org.wagtaillug.log.LogRecord;
 import org.wagtaillug.membership.PeerView;
-import org.wagtaillug.membership.Standing;
+import org.wagtaillug.membership.ViewStatus;
 import org.wagtaillug.membership.Vm;
 import org.wagtaillug.node.Node;
 import org.wagtaillug.settings.Contracts;
@@ -58,15 +58,15 @@
     }
 
     private static ObjectNode self(Node node, Instant now) {
-        Standing standing = node.members().standing(now);
+        ViewStatus status = node.members().viewStatus(now);
         ObjectNode view = Json.object();
         view.put("node", node.members().self().toString());
         view.put("vm", node.members().self().vm().value());
         view.put("domain", node.members().domain().value());
         view.put("through", node.state().through());
         view.put("heard_millis", 0);
-        view.put("fresh", standing == Standing.FRESH);
-        view.put("standing", standing.toString());
+        view.put("fresh", status == ViewStatus.FRESH);
+        view.put("standing", status.toString());
         return view;
     }
 
