--- a/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/Dispatcher.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/Dispatcher.java
@@ -43,10 +43,10 @@
 public final class Dispatcher {
     /**
      * Owners that hear nothing of a holder count on it that no attempt outlives this; see {@link
-     * GrantOwner#LONGEST_ATTEMPT}. What must happen once is not cut short for it: its caller would be told "unknown" of a
+     * GrantOwner#MAX_ATTEMPT_DURATION}. What must happen once is not cut short for it: its caller would be told "unknown" of a
      * call that is about to end well.
      */
-    private static final Duration LONGEST_ATTEMPT = GrantOwner.LONGEST_ATTEMPT;
+    private static final Duration LONGEST_ATTEMPT = GrantOwner.MAX_ATTEMPT_DURATION;
 
     private static final double HEDGE_QUANTILE = 0.95;
     private static final int UNSENT_ATTEMPTS = 3;
--- a/wagtaillug-core/src/main/java/org/wagtaillug/grant/GrantOwner.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/grant/GrantOwner.java
@@ -47,7 +47,7 @@
      * The maximum time that an attempt may run at an upstream after its start. What a silent holder may have in flight
      * is counted for this long after its last allowance has expired.
      */
-public static final Duration LONGEST_ATTEMPT = Duration.ofSeconds ( 10 );
+public static final Duration MAX_ATTEMPT_DURATION = Duration.ofSeconds ( 10 );
 
 /** How long a turn at a cold upstream lasts. */
 static final Duration COLD_TURN = Duration.ofMillis ( 500 );
--- a/wagtaillug-core/src/main/java/org/wagtaillug/grant/HolderAccount.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/grant/HolderAccount.java
@@ -40,7 +40,7 @@
     private record IssuedAllowance(long sequence, int allowed, Instant expires) {
         /** When the last request started under this allowance has ended, even if nothing is ever heard of it. */
         Instant attemptsEndedAt() {
-            return expires.plus(GrantOwner.LONGEST_ATTEMPT);
+            return expires.plus(GrantOwner.MAX_ATTEMPT_DURATION);
         }
     }
 
@@ -48,7 +48,7 @@
     void onAsk(long applied, Optional<GrantDemand> demand, Instant now) {
         issued.removeIf(each -> each.sequence() < applied);
         inUse = Math.max(0, demand.map(GrantDemand::inUse).orElse(0));
-        inUseUntil = now.plus(GrantOwner.LONGEST_ATTEMPT);
+        inUseUntil = now.plus(GrantOwner.MAX_ATTEMPT_DURATION);
         wanted = Math.max(0, demand.map(GrantDemand::wanted).orElse(0));
         lastAsk = now;
         if (wanted == 0) {
--- a/wagtaillug-core/src/main/java/org/wagtaillug/grant/UpstreamAccount.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/grant/UpstreamAccount.java
@@ -66,7 +66,7 @@
         }
         granting = true;
         fencingNumber = newFencingNumber;
-        inFlightUnknownUntil = now.plus(GrantOwner.LONGEST_ATTEMPT);
+        inFlightUnknownUntil = now.plus(GrantOwner.MAX_ATTEMPT_DURATION);
         firstReportSinceGranting = Optional.empty();
     }
 
--- a/wagtaillug-core/src/main/java/org/wagtaillug/grant/UpstreamGrant.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/grant/UpstreamGrant.java
@@ -115,7 +115,7 @@
                 evidenceAt = now;
             }
             case FAILED -> {
-                orphanedUntil.add(now.plus(GrantOwner.LONGEST_ATTEMPT));
+                orphanedUntil.add(now.plus(GrantOwner.MAX_ATTEMPT_DURATION));
                 suspend(now);
             }
             case OVERLOADED -> suspend(now);
--- a/wagtaillug-core/src/main/java/org/wagtaillug/grant/UpstreamOutcome.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/grant/UpstreamOutcome.java
@@ -6,7 +6,7 @@
     SUCCEEDED,
     /**
      * The connection went silent after a byte may have been sent, and the attempt was given up. The upstream may be
-     * cold, and may still be working on the request, so its slot stays taken for {@link GrantOwner#LONGEST_ATTEMPT}.
+     * cold, and may still be working on the request, so its slot stays taken for {@link GrantOwner#MAX_ATTEMPT_DURATION}.
      */
     FAILED,
     /**
--- a/wagtaillug-core/src/test/java/org/wagtaillug/grant/GrantHolderTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/grant/GrantHolderTest.java
@@ -166,7 +166,7 @@
         assertThat(ask.demands().get(0).inUse()).isEqualTo(1);
         reply(ask, 1, Duration.ofMillis(500), START.plusMillis(500));
         assertThat(holder.available(ID, START.plusMillis(500))).isZero();
-        Instant over = START.plus(GrantOwner.LONGEST_ATTEMPT);
+        Instant over = START.plus(GrantOwner.MAX_ATTEMPT_DURATION);
         assertThat(asked(OWNER, over).demands().get(0).inUse()).isZero();
     }
 
--- a/wagtaillug-core/src/test/java/org/wagtaillug/grant/GrantOwnerTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/grant/GrantOwnerTest.java
@@ -43,7 +43,7 @@
         ownership.members.add(HOLDER);
         owner.onVmList(List.of(vm(false)), now);
         owner.onTick(now, effects);
-        now = now.plus(GrantOwner.LONGEST_ATTEMPT);
+        now = now.plus(GrantOwner.MAX_ATTEMPT_DURATION);
         owner.onTick(now, effects);
         report(1);
         effects.drain();
@@ -129,7 +129,7 @@
         assertThat(ask(1, 0, false).allowed()).isEqualTo(1);
         ownership.fencingNumber = 3;
         assertThat(ask(1, 0, false).allowed()).isZero();
-        now = now.plus(GrantOwner.LONGEST_ATTEMPT);
+        now = now.plus(GrantOwner.MAX_ATTEMPT_DURATION);
         assertThat(ask(1, 0, false).allowed()).isEqualTo(1);
     }
 
