--- a/wagtaillug-benchmarks/src/main/java/org/wagtaillug/benchmarks/NodeAtSize.java
+++ b/wagtaillug-benchmarks/src/main/java/org/wagtaillug/benchmarks/NodeAtSize.java
@@ -272,7 +272,7 @@
             }
             owned++;
             int size = sizes.get(vm.pool().orElseThrow());
-            int holders = Math.min(peers.size(), peers.size() * GrantHolder.POOL_FAN_OUT / size);
+            int holders = Math.min(peers.size(), peers.size() * GrantHolder.MAX_FAN_OUT / size);
             int first = Math.floorMod(vm.id().hashCode(), Math.max(1, peers.size()));
             for (int index = 0; index < holders; index++) {
                 NodeId holder = peers.get((first + index) % peers.size());
--- a/wagtaillug-core/src/main/java/org/wagtaillug/grant/GrantHolder.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/grant/GrantHolder.java
@@ -44,7 +44,7 @@
  */
 public final class GrantHolder {
     /** The maximum number of upstreams of a pool that a node uses; it uses all of a smaller pool. */
-    public static final int POOL_FAN_OUT = 16;
+    public static final int MAX_FAN_OUT = 16;
 
     /** The minimum number of upstreams of a pool that a node with any demand uses, so that it has a choice. */
     static final int MIN_FAN_OUT = 4;
@@ -185,7 +185,7 @@
 
     /** A small demand is spread over few upstreams, since each upstream used costs messages to its owner. */
     private static int fanOut(int count) {
-        return Math.min(POOL_FAN_OUT, Math.max(MIN_FAN_OUT, count));
+        return Math.min(MAX_FAN_OUT, Math.max(MIN_FAN_OUT, count));
     }
 
     private void collectDemands(
--- a/wagtaillug-core/src/test/java/org/wagtaillug/grant/GrantOwnerTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/grant/GrantOwnerTest.java
@@ -329,7 +329,7 @@
         assertThat(effects.drain()).singleElement().satisfies(effect -> {
             Effect.SendToPeer message = (Effect.SendToPeer) effect;
             GrantAsk ask = (GrantAsk) message.message();
-            assertThat(ask.demands()).hasSize(GrantHolder.POOL_FAN_OUT).allMatch(each -> each.wanted() == 7);
+            assertThat(ask.demands()).hasSize(GrantHolder.MAX_FAN_OUT).allMatch(each -> each.wanted() == 7);
         });
     }
 }
