--- a/wagtaillug-core/src/test/java/org/wagtaillug/grant/FakeOwnership.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/grant/FakeOwnership.java
@@ -15,7 +15,7 @@
     public final Set<NodeId> members = new TreeSet<>();
     public Optional<NodeId> owner = Optional.empty();
     public long fencingNumber = 1;
-    public BooleanSupplier right = () -> true;
+    public BooleanSupplier grantAllowed = () -> true;
     private final NodeId self;
 
     public FakeOwnership(NodeId self) {
@@ -40,7 +40,7 @@
 
     @Override
     public boolean mayGrant(Vm upstream, Instant now) {
-        return owner.equals(Optional.of(self)) && right.getAsBoolean();
+        return owner.equals(Optional.of(self)) && grantAllowed.getAsBoolean();
     }
 
     @Override
--- a/wagtaillug-core/src/test/java/org/wagtaillug/grant/GrantOwnerTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/grant/GrantOwnerTest.java
@@ -92,7 +92,7 @@
 
     @Test
     void grantsNothingWhileItMayNot() {
-        ownership.right = () -> false;
+        ownership.grantAllowed = () -> false;
         GrantOffer offer = ask(1, 0, false);
         assertThat(offer.allowed()).isZero();
         assertThat(offer.lifetime()).isEqualTo(Duration.ZERO);
--- a/wagtaillug-core/src/test/java/org/wagtaillug/grant/GrantSimulation.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/grant/GrantSimulation.java
@@ -191,7 +191,7 @@
 private void startIncarnation ( long incarnation ) {
 id = new NodeId ( new VmId ( name ) , incarnation );
 view = new FakeOwnership ( id );
-view.right = ( ) -> now >= grantsFrom && now < grantsUntil;
+view.grantAllowed = ( ) -> now >= grantsFrom && now < grantsUntil;
 owner = new GrantOwner ( view , configuration );
 holder = new GrantHolder ( view , configuration , owner );
 }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/placement/PlacementTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/placement/PlacementTest.java
@@ -207,13 +207,13 @@
         configuration.placements.add(new PlacementContract(new ModelId("menu"), 1, POOL, 1));
         FakeOwnership ownership = ownership("node-0");
         ownership.fencingNumber = 17;
-        ownership.right = () -> false;
+        ownership.grantAllowed = () -> false;
         Placement placement = new Placement(ownership, configuration);
         placement.onVmList(engines, START);
         reportAll(placement, START);
         placement.onTick(START, effects);
         assertThat(effects.drain()).isEmpty();
-        ownership.right = () -> true;
+        ownership.grantAllowed = () -> true;
         placement.onTick(START, effects);
         assertThat(effects.drain())
                 .contains(new Effect.SendOrder(engines.get(0).id(), true, new ModelId("menu"), 1, 17));
