--- a/wagtaillug-core/src/main/java/org/wagtaillug/membership/Timing.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/membership/Timing.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 
 /**
- * Time limits of the membership and grant protocols. All nodes of a platform must use the same values.
+ * Time limits of the membership and grant protocols. All nodes that share a roster must use the same values.
  *
  * <p>Clocks of different nodes are never compared, only durations, and {@link #CLOCK_DRIFT} covers differences in clock rate.
  */
