--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/Node.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/Node.java
@@ -20,7 +20,7 @@
 import org.wagtaillug.id.VmId;
 import org.wagtaillug.log.LogStream;
 import org.wagtaillug.membership.Members;
-import org.wagtaillug.membership.Standing;
+import org.wagtaillug.membership.ViewStatus;
 import org.wagtaillug.membership.Vm;
 import org.wagtaillug.message.PeerMessage;
 import org.wagtaillug.message.ServingMessage;
@@ -163,7 +163,7 @@
         if (!controlLog.complete() || !directory.isLoaded()) {
             return refuse(ResultCode.NOT_READY, "the node has not read the complete configuration yet");
         }
-        if (members.standing(now) == Standing.CUT_OFF) {
+        if (members.viewStatus(now) == ViewStatus.CUT_OFF) {
             return refuse(ResultCode.NODE_CUT_OFF, "the node is cut off from configuration changes; use another node");
         }
         return Optional.empty();
@@ -253,7 +253,7 @@
             return;
         }
         reportedReady = Optional.of(ready);
-        String reason = drain.started() ? "draining" : members.standing(now).toString();
+        String reason = drain.started() ? "draining" : members.viewStatus(now).toString();
         effects.add(new Effect.ReadinessChanged(ready, reason));
     }
 
--- a/wagtaillug-core/src/test/java/org/wagtaillug/grant/FakeOwnership.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/grant/FakeOwnership.java
@@ -10,12 +10,12 @@
 import org.wagtaillug.membership.Ownership;
 import org.wagtaillug.membership.Vm;
 
-/** One node's view of the roster, set by hand: one owner of everything. */
+/** One node's view of the roster, set directly by a test, with one owner for all upstreams. */
 public class FakeOwnership implements Ownership {
     public final Set<NodeId> members = new TreeSet<>();
     public Optional<NodeId> owner = Optional.empty();
     public long fencingNumber = 1;
-    public BooleanSupplier right = () -> true;
+    public BooleanSupplier grantAllowed = () -> true;
     private final NodeId self;
 
     public FakeOwnership(NodeId self) {
@@ -40,7 +40,7 @@
 
     @Override
     public boolean mayGrant(Vm upstream, Instant now) {
-        return owner.equals(Optional.of(self)) && right.getAsBoolean();
+        return owner.equals(Optional.of(self)) && grantAllowed.getAsBoolean();
     }
 
     @Override
--- a/wagtaillug-core/src/test/java/org/wagtaillug/grant/GrantWorld.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/grant/GrantSimulation.java
@@ -21,24 +21,29 @@
 import org.wagtaillug.node.Effect;
 import org.wagtaillug.node.Effects;
 
-/** A few nodes and one upstream that counts what is in flight, in simulated milliseconds, all from one seed. */
-final class GrantWorld {
+/**
+ * Simulates a few nodes and one upstream that counts the requests in flight, in simulated milliseconds; each run is
+ * determined by its seed.
+ */
+final class GrantSimulation {
     static final PoolId POOL = new PoolId("generate");
     static final VmId UPSTREAM = new VmId("engine-1");
     private static final Instant EPOCH = Instant.ofEpochSecond(1_000_000);
-    private static final int[] LATEST = {300, 1000, 12_000};
-    private static final int LONGEST_WORK = 9_500;
+    private static final int[] MAX_DELAYS = {300, 1000, 12_000};
+    private static final int MAX_WORK = 9_500;
 
     final Random random;
     final FakeConfiguration configuration;
     final List<Member> members = new ArrayList<>();
     final Upstream upstream;
     boolean faults;
-    private int silentOneIn = 20;
-    /** What went wrong first. */
+    private int silentRequestInterval = 20;
+    /** The first violation of the cold limit; empty if there is none. */
     String violation = "";
-    /** Starts above the cold limit after a restart of a warm upstream, by holders that had not heard of it. */
-    int unheardRestart;
+    /**
+     * Starts above the cold limit after a restart of a warm upstream, by holders that did not know of the restart yet.
+     */
+    int startsBeforeRestartNotice;
 
     private final PriorityQueue<Scheduled> queue = new PriorityQueue<>();
     private final Vm vm =
@@ -56,7 +61,7 @@
         }
     }
 
-    GrantWorld(long seed, FakeConfiguration configuration, int nodes, boolean faults) {
+    GrantSimulation(long seed, FakeConfiguration configuration, int nodes, boolean faults) {
         this.random = new Random(seed);
         this.upstream = new Upstream();
         this.configuration = configuration;
@@ -72,7 +77,7 @@
         for (Member member : members) {
             member.boot();
         }
-        repeat(100, upstream::remember);
+        repeat(100, upstream::recordReport);
     }
 
     void at(long time, Runnable action) {
@@ -100,12 +105,12 @@
     }
 
     /**
-     * Pauses, deaths, restarts and changes of owner, at random times.
+     * Schedules pauses, crashes, restarts and changes of owner at random times.
      *
-     * @param kinds five in this many seconds bring a fault
+     * @param kinds on average five out of this many seconds have a fault
      */
     void scheduleFaults(int seconds, int kinds) {
-        silentOneIn = 4 * kinds;
+        silentRequestInterval = 4 * kinds;
         for (int second = 1; second < seconds; second++) {
             long time = second * 1000L + random.nextInt(1000);
             int kind = random.nextInt(kinds);
@@ -114,7 +119,8 @@
                 case 2 -> at(time, () -> anyMember().die());
                 case 3 -> at(time, upstream::restart);
                 case 4 -> at(time, this::changeOwner);
-                default -> { // a quiet second
+                default -> {
+                    // no fault
                 }
             }
         }
@@ -124,7 +130,7 @@
         return members.get(random.nextInt(members.size()));
     }
 
-    /** The roster names another owner; the one before hears of it late, the new one waits. */
+    /** The roster names another owner; the previous one learns of it late, the new one waits for the handover. */
     private void changeOwner() {
         members.get(ownerIndex).grantsUntil =
                 Math.min(members.get(ownerIndex).grantsUntil, now + random.nextInt((int) Timing.LEASE.toMillis()));
@@ -139,7 +145,7 @@
         owner.view.fencingNumber = fencingNumber;
         NodeId id = owner.id;
         for (Member member : members) {
-            after(member == owner ? 0 : random.nextInt(2000), () -> member.read(offset, id));
+            after(member == owner ? 0 : random.nextInt(2000), () -> member.applyRosterRecord(offset, id));
         }
     }
 
@@ -152,7 +158,7 @@
         }
     }
 
-    /** A VM of ours and the node that runs on it now. */
+    /** A VM and the node process that runs on it now. */
     final class Member {
         final String name;
         NodeId id;
@@ -163,7 +169,7 @@
         int running;
         long served;
         private final Effects effects = new Effects();
-        private final Deque<Runnable> whilePaused = new ArrayDeque<>();
+        private final Deque<Runnable> deferred = new ArrayDeque<>();
         private final long clockOffset = random.nextInt(100_000);
         private final double clockRate = 1 + (random.nextInt(21) - 10) / 1000.0;
         private long rosterOffset;
@@ -174,19 +180,19 @@
 
         Member(String name, long incarnation) {
             this.name = name;
-            become(incarnation);
+            startIncarnation(incarnation);
         }
 
-        private void become(long incarnation) {
+        private void startIncarnation(long incarnation) {
             id = new NodeId(new VmId(name), incarnation);
             view = new FakeOwnership(id);
-            view.right = () -> now >= grantsFrom && now < grantsUntil;
+            view.grantAllowed = () -> now >= grantsFrom && now < grantsUntil;
             owner = new GrantOwner(view, configuration);
             holder = new GrantHolder(view, configuration, owner);
         }
 
-        /** Folds in a roster record; one that it has gone past changes nothing. */
-        private void read(long offset, NodeId named) {
+        /** Applies a roster record; an outdated one is ignored. */
+        private void applyRosterRecord(long offset, NodeId named) {
             if (offset > rosterOffset) {
                 rosterOffset = offset;
                 view.owner = Optional.of(named);
@@ -209,28 +215,28 @@
             if (holder != of) {
                 return;
             }
-            act(() -> {
+            execute(() -> {
                 owner.onTick(clock(), effects);
                 holder.onTick(clock(), effects);
             });
             after(now < pausedUntil ? pausedUntil - now : 50, () -> tick(of));
         }
 
-        /** Does something at this node now, or when it wakes, or never if it is dead. */
-        private void act(Runnable action) {
+        /** Runs an action at this node now, or when its pause ends, or never if it is dead. */
+        private void execute(Runnable action) {
             if (dead) {
                 return;
             }
             if (now < pausedUntil) {
-                whilePaused.add(action);
+                deferred.add(action);
                 return;
             }
             action.run();
-            startAll();
-            carryOut();
+            startAttempts();
+            applyEffects();
         }
 
-        private void startAll() {
+        private void startAttempts() {
             holder.want(POOL, wanted);
             while (running < wanted && holder.start(UPSTREAM, clock())) {
                 running++;
@@ -249,31 +255,31 @@
                 return;
             }
             if (now < pausedUntil) {
-                whilePaused.add(() -> send(attempt, startBefore));
+                deferred.add(() -> send(attempt, startBefore));
                 return;
             }
             if (!clock().isBefore(startBefore)) {
-                act(() -> end(attempt, Finish.CANCELLED));
+                execute(() -> end(attempt, UpstreamOutcome.CANCELLED));
                 return;
             }
             after(1 + random.nextInt(5), () -> upstream.arrive(attempt));
         }
 
-        private void end(Attempt attempt, Finish finish) {
+        private void end(Attempt attempt, UpstreamOutcome outcome) {
             if (holder != attempt.holder()) {
                 return;
             }
             running--;
-            if (finish == Finish.SUCCEEDED) {
+            if (outcome == UpstreamOutcome.SUCCEEDED) {
                 served++;
             }
-            holder.finished(UPSTREAM, finish, clock());
+            holder.finished(UPSTREAM, outcome, clock());
         }
 
-        private void carryOut() {
+        private void applyEffects() {
             for (Effect effect : effects.drain()) {
                 if (effect instanceof Effect.RequestLoad) {
-                    upstream.askLoad(this);
+                    upstream.requestLoad(this);
                 }
                 if (effect instanceof Effect.SendToPeer message) {
                     transmit(this, message);
@@ -282,7 +288,7 @@
         }
 
         private void receive(NodeId sender, PeerMessage message) {
-            act(() -> {
+            execute(() -> {
                 if (message instanceof PeerMessage.GrantAsk ask) {
                     owner.onAsk(sender, ask, clock(), effects);
                 }
@@ -298,15 +304,18 @@
         }
 
         private void wake() {
-            while (now >= pausedUntil && !whilePaused.isEmpty()) {
-                act(whilePaused.poll());
+            while (now >= pausedUntil && !deferred.isEmpty()) {
+                execute(deferred.poll());
             }
         }
 
-        /** Dies; another run of the daemon on the same VM follows. An owner's death takes its right with it. */
+        /**
+         * Crashes; a new node process starts on the same VM later. If the node was the owner, ownership moves to
+         * another one.
+         */
         private void die() {
             dead = true;
-            whilePaused.clear();
+            deferred.clear();
             boolean owned = members.get(ownerIndex) == this;
             after(1000 + random.nextInt(4000), () -> {
                 if (!dead) {
@@ -315,18 +324,18 @@
                 dead = false;
                 pausedUntil = 0;
                 Optional<NodeId> named = view.owner;
-                become(id.incarnation() + 1);
+                startIncarnation(id.incarnation() + 1);
                 view.owner = named;
                 refreshRosters();
                 boot();
             });
             if (owned) {
-                after(500 + random.nextInt(3000), GrantWorld.this::changeOwner);
+                after(500 + random.nextInt(3000), GrantSimulation.this::changeOwner);
             }
         }
     }
 
-    /** The network between nodes: loses, doubles, delays and re-orders. */
+    /** The network between nodes: loses, duplicates, delays and reorders messages. */
     private void transmit(Member sender, Effect.SendToPeer message) {
         if (faults && random.nextInt(100) < 10) {
             return;
@@ -335,7 +344,7 @@
         int copies = faults && random.nextInt(100) < 5 ? 2 : 1;
         for (int i = 0; i < copies; i++) {
             boolean late = faults && random.nextInt(100) < 5;
-            long delay = 1 + random.nextInt(late ? LATEST[random.nextInt(LATEST.length)] : 5);
+            long delay = 1 + random.nextInt(late ? MAX_DELAYS[random.nextInt(MAX_DELAYS.length)] : 5);
             after(delay, () -> {
                 for (Member member : members) {
                     if (member.id.vm().equals(message.receiver())) {
@@ -347,29 +356,30 @@
     }
 
     /**
-     * One try on its way.
+     * An attempt at the upstream.
      *
-     * @param believedWarm the start of the upstream that its holder held to be warm; empty if it held it to be cold
+     * @param believedWarm the start of the upstream process that the holder considered warm; empty if it considered it
+     *      cold
      */
     record Attempt(Member member, GrantHolder holder, Optional<Instant> believedWarm, boolean fixedShare) {}
 
-    /** Counts the requests that run; warm after enough successes of one process. */
+    /** Counts the requests in flight; becomes warm after enough successes of one process. */
     final class Upstream {
         private int process = 1;
         private long startedAtMillis;
         private long downUntil;
         private int successes;
-        private final int lag = 1 + random.nextInt(28);
-        private int most;
+        private final int reportLag = 1 + random.nextInt(28);
+        private int maxInFlight;
         private final List<Attempt> inFlight = new ArrayList<>();
-        private final Deque<LoadReport> remembered = new ArrayDeque<>();
+        private final Deque<LoadReport> reportHistory = new ArrayDeque<>();
 
         Instant startedAt() {
             return Instant.ofEpochMilli(startedAtMillis);
         }
 
-        int most() {
-            return most;
+        int maxInFlight() {
+            return maxInFlight;
         }
 
         private PoolContract contract() {
@@ -382,18 +392,20 @@
 
         private void arrive(Attempt attempt) {
             if (now < downUntil) {
-                after(2, () -> attempt.member().act(() -> attempt.member().end(attempt, Finish.OVERLOADED)));
+                after(2, () -> attempt.member()
+                        .execute(() -> attempt.member().end(attempt, UpstreamOutcome.OVERLOADED)));
                 return;
             }
             inFlight.add(attempt);
-            most = Math.max(most, inFlight.size());
+            maxInFlight = Math.max(maxInFlight, inFlight.size());
             check(attempt);
-            int arrivedAt = process;
-            int work = 20 + random.nextInt(faults && random.nextInt(4) == 0 ? LONGEST_WORK - 20 : 400);
-            boolean silent = faults && random.nextInt(silentOneIn) == 0;
-            after(work, () -> finish(attempt, arrivedAt, silent));
+            int arrivalProcess = process;
+            int work = 20 + random.nextInt(faults && random.nextInt(4) == 0 ? MAX_WORK - 20 : 400);
+            boolean silent = faults && random.nextInt(silentRequestInterval) == 0;
+            after(work, () -> finish(attempt, arrivalProcess, silent));
             if (silent) {
-                after(2000, () -> attempt.member().act(() -> attempt.member().end(attempt, Finish.FAILED)));
+                after(2000, () -> attempt.member()
+                        .execute(() -> attempt.member().end(attempt, UpstreamOutcome.FAILED)));
             }
         }
 
@@ -408,29 +420,28 @@
             if (counted <= contract().coldLimit()) {
                 return;
             }
-            // Sent on the strength of a start that is over: the holder cannot know yet. What the owner has granted
-            // since has to leave room for it.
-            boolean unheard = newest.believedWarm().isPresent()
+            // Sent based on the state of a process that has ended, which the holder cannot know yet. What the owner has
+            // granted since must leave room for it.
+            boolean restartUnknown = newest.believedWarm().isPresent()
                     && !newest.believedWarm().get().equals(startedAt());
-            if (unheard) {
-                unheardRestart++;
+            if (restartUnknown) {
+                startsBeforeRestartNotice++;
                 return;
             }
-            violation = counted + " in flight on a cold upstream that bears "
-                    + contract().coldLimit() + " at " + now
-                    + " ms, the last from " + newest.member().name + ", owner "
-                    + members.get(ownerIndex).name;
+            violation = counted + " in flight at a cold upstream with limit "
+                    + contract().coldLimit() + " at " + now + " ms, last request from " + newest.member().name
+                    + ", owner " + members.get(ownerIndex).name;
         }
 
-        private void finish(Attempt attempt, int arrivedAt, boolean silent) {
-            if (arrivedAt != process) {
+        private void finish(Attempt attempt, int arrivalProcess, boolean silent) {
+            if (arrivalProcess != process) {
                 return;
             }
             inFlight.remove(attempt);
             successes++;
             if (!silent) {
                 after(1 + random.nextInt(5), () -> attempt.member()
-                        .act(() -> attempt.member().end(attempt, Finish.SUCCEEDED)));
+                        .execute(() -> attempt.member().end(attempt, UpstreamOutcome.SUCCEEDED)));
             }
         }
 
@@ -438,7 +449,7 @@
             process++;
             for (Attempt each : inFlight) {
                 after(1 + random.nextInt(5), () -> each.member()
-                        .act(() -> each.member().end(each, Finish.OVERLOADED)));
+                        .execute(() -> each.member().end(each, UpstreamOutcome.OVERLOADED)));
             }
             inFlight.clear();
             successes = 0;
@@ -446,10 +457,10 @@
             downUntil = now + random.nextInt(3) * random.nextInt(1500);
         }
 
-        private void remember() {
-            remembered.addLast(report());
-            if (remembered.size() > lag) {
-                remembered.removeFirst();
+        private void recordReport() {
+            reportHistory.addLast(report());
+            if (reportHistory.size() > reportLag) {
+                reportHistory.removeFirst();
             }
         }
 
@@ -458,16 +469,16 @@
             return new LoadReport(startedAt(), reportedAt, inFlight.size(), 0, 8, Optional.empty(), 0, 0);
         }
 
-        private void askLoad(Member member) {
+        private void requestLoad(Member member) {
             GrantOwner asker = member.owner;
             after(1 + random.nextInt(50), () -> {
                 boolean missing = now < downUntil || faults && random.nextInt(20) == 0;
-                LoadReport answer = remembered.isEmpty() ? report() : remembered.peekFirst();
+                LoadReport answer = reportHistory.isEmpty() ? report() : reportHistory.peekFirst();
                 if (!answer.startedAt().equals(startedAt())) {
                     answer = report();
                 }
                 LoadReport report = answer;
-                member.act(() -> {
+                member.execute(() -> {
                     if (member.owner != asker) {
                         return;
                     }
@@ -481,7 +492,7 @@
         }
     }
 
-    /** How many attempts have ended well. */
+    /** The number of attempts that succeeded. */
     long served() {
         long served = 0;
         for (Member member : members) {
@@ -490,10 +501,10 @@
         return served;
     }
 
-    /** Each member's demand changes now and then. */
-    void varyDemand(int most) {
+    /** Changes the demand of each member at intervals. */
+    void varyDemand(int maximum) {
         for (Member member : members) {
-            repeat(300 + random.nextInt(900), () -> member.wanted = random.nextInt(most + 1));
+            repeat(300 + random.nextInt(900), () -> member.wanted = random.nextInt(maximum + 1));
         }
     }
 }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/membership/MembersTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/membership/MembersTest.java
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void joinsOnceItHoldsTheWholeStateAndAgainWhenItWasRemoved() {
+    void joinsOnceItHasTheCompleteStateAndAgainAfterItsRemoval() {
         tick(0);
         assertThat(appended()).isEmpty();
         read();
@@ -113,7 +113,9 @@
         append(RosterChangeKind.REMOVE, SELF, node(2));
         read();
         tick(50);
-        assertThat(appended()).as("not at once, to let its peers hear it").isEmpty();
+        assertThat(appended())
+                .as("rejoins only after a delay, so that its peers can hear it")
+                .isEmpty();
         read();
         tick(500);
         assertThat(appended()).extracting(RosterChange::kind).containsExactly(RosterChangeKind.JOIN);
@@ -123,7 +125,7 @@
     }
 
     @Test
-    void aNodeIsVouchedForFromTheSendingOfItsProbeLessThePeersAge() {
+    void freshnessCountsFromSendingTheProbeLessThePeersAge() {
         roster(3);
         assertThat(members.freshUntil()).contains(now.plus(Timing.LEASE));
         tick(1_000);
@@ -131,12 +133,12 @@
         now = now.plusMillis(700);
         answer(2, own(), Duration.ofMillis(300), true);
         assertThat(members.freshUntil()).contains(sent.minusMillis(300).plus(Timing.LEASE));
-        assertThat(members.standing(sent.plusMillis(2_699))).isEqualTo(Standing.FRESH);
-        assertThat(members.standing(sent.plusMillis(2_700))).isNotEqualTo(Standing.FRESH);
+        assertThat(members.viewStatus(sent.plusMillis(2_699))).isEqualTo(ViewStatus.FRESH);
+        assertThat(members.viewStatus(sent.plusMillis(2_700))).isNotEqualTo(ViewStatus.FRESH);
     }
 
     @Test
-    void aPeerThatIsAheadOrDiffersOrAnswersAnotherProbeDoesNotVouch() {
+    void aPeerThatIsAheadOrDiffersOrAnswersAnotherProbeDoesNotConfirm() {
         roster(3);
         Optional<Instant> before = members.freshUntil();
         tick(1_000);
@@ -145,7 +147,7 @@
         read();
         before = members.freshUntil();
         tick(950);
-        assertThat(asks(new VmId("entry-2"))).as("the log comes first").isFalse();
+        assertThat(asks(new VmId("entry-2"))).as("the log has precedence").isFalse();
         tick(50);
         assertThat(asks(new VmId("entry-2"))).isTrue();
         answer(2, new Position(state.through(), state.digest() + 1), Duration.ZERO, true);
@@ -160,7 +162,7 @@
     }
 
     @Test
-    void aPeerBehindVouchesForWhatWasTrueWhenItRead() {
+    void aPeerBehindConfirmsTheStateAsOfItsRead() {
         roster(3);
         tick(1_000);
         answer(2, new Position(1, 77), Duration.ZERO, true);
@@ -168,37 +170,40 @@
     }
 
     /**
-     * The log goes down for everybody: service must go on. One node loses the log and its peers while changes go on: it
-     * must stop. Both look the same at first, nobody answers; the peers make the difference.
+     * Distinguishes two faults that look the same at first, since the log does not answer: the log is unavailable to
+     * all nodes, and service must go on; or one node loses the log and its peers while changes go on, and it must stop.
+     * The replies of the peers make the difference.
      */
     @Test
-    void tellsALogOutageFromBeingCutOff() {
-        assertThat(members.standing(now)).isEqualTo(Standing.STARTING);
+    void distinguishesALogOutageFromBeingCutOff() {
+        assertThat(members.viewStatus(now)).isEqualTo(ViewStatus.STARTING);
         roster(5);
-        assertThat(members.standing(now)).isEqualTo(Standing.FRESH);
+        assertThat(members.viewStatus(now)).isEqualTo(ViewStatus.FRESH);
         tick(4_000);
-        assertThat(members.standing(now)).isEqualTo(Standing.CUT_OFF);
+        assertThat(members.viewStatus(now)).isEqualTo(ViewStatus.CUT_OFF);
         answer(2, own(), Duration.ofSeconds(5), false);
-        assertThat(members.standing(now)).isEqualTo(Standing.CUT_OFF);
+        assertThat(members.viewStatus(now)).isEqualTo(ViewStatus.CUT_OFF);
         answer(3, own(), null, false);
-        assertThat(members.standing(now)).as("it hears two of the four others").isEqualTo(Standing.LOG_OUTAGE);
+        assertThat(members.viewStatus(now)).as("hears two of its four peers").isEqualTo(ViewStatus.LOG_OUTAGE);
         tick(500);
         answer(4, new Position(state.through() + 1, 0), Duration.ofSeconds(5), false);
-        assertThat(members.standing(now)).as("a peer has a record more").isEqualTo(Standing.CUT_OFF);
+        assertThat(members.viewStatus(now))
+                .as("a peer has read one record more")
+                .isEqualTo(ViewStatus.CUT_OFF);
         tick(50);
         assertThat(asks(new VmId("entry-4"))).isTrue();
     }
 
     @Test
-    void aLoneNodeGoesOnWhileTheLogIsDown() {
+    void aSingleNodeContinuesDuringALogOutage() {
         roster(1);
         tick(4_000);
-        assertThat(members.standing(now)).isEqualTo(Standing.LOG_OUTAGE);
+        assertThat(members.viewStatus(now)).isEqualTo(ViewStatus.LOG_OUTAGE);
         assertThat(members.mayGrant(UPSTREAM, now)).isFalse();
     }
 
     @Test
-    void startsFromASeedsStateWhileTheLogIsDown() {
+    void startsFromASeedsStateDuringALogOutage() {
         ControlLog cold =
                 ControlLog.builder(node(9), ADDRESS, new ControlState()).build();
         Members late = new Members(cold, List.of(new Members.Seed(new VmId("entry-2"), ADDRESS)));
@@ -214,16 +219,18 @@
         assertThat(asks(new VmId("entry-2"))).isTrue();
         StateReply reply = new StateReply(state.through(), state.entries(), state.members());
         late.onPeerMessage(node(3), reply, now, effects);
-        assertThat(cold.complete()).as("not asked for").isFalse();
+        assertThat(cold.complete())
+                .as("the state was not requested from this peer")
+                .isFalse();
         late.onPeerMessage(node(2), reply, now, effects);
         assertThat(cold.complete()).isTrue();
-        assertThat(late.standing(now)).isEqualTo(Standing.CUT_OFF);
+        assertThat(late.viewStatus(now)).isEqualTo(ViewStatus.CUT_OFF);
         late.onTick(now, effects);
-        assertThat(late.standing(now)).as("it hears one of three, no more").isEqualTo(Standing.CUT_OFF);
+        assertThat(late.viewStatus(now)).as("hears only one of three nodes").isEqualTo(ViewStatus.CUT_OFF);
     }
 
     @Test
-    void removesASilentPeerWhileItHearsMostOfTheOthers() {
+    void removesASilentPeerWhileItHearsAMajority() {
         roster(4);
         List<RosterChange> removals = new ArrayList<>();
         for (int period = 0; period < 9; period++) {
@@ -237,11 +244,11 @@
     }
 
     /**
-     * After a pause of some seconds a node throws others out of the roster: their answers are there, but it takes its own
-     * tick in first. Silence must not count while the node itself stood still.
+     * Guards against a node that removes its peers after a pause of some seconds: their replies have arrived, but the
+     * node runs its own tick first. Silence must not count while the node itself is paused.
      */
     @Test
-    void aNodeThatWasPausedRemovesNobody() {
+    void aNodeThatWasPausedRemovesNoPeers() {
         roster(4);
         tick(500);
         answer(2, own(), Duration.ZERO, true);
@@ -258,7 +265,7 @@
     }
 
     @Test
-    void aNodeThatHearsNobodyRemovesNobodyForLong() {
+    void aNodeThatHearsNoPeerRemovesPeersOnlyAfterALongSilence() {
         roster(4);
         List<RosterChange> removals = new ArrayList<>();
         for (int period = 0; period < 70; period++) {
@@ -273,43 +280,43 @@
     }
 
     /**
-     * A whole domain is cut off and goes on as if the log were down for everybody: its nodes heard most of those that they
-     * watched, each other.
+     * Guards against a domain that is cut off as a whole and goes on as in an outage of the log because its nodes
+     * mostly probe, and hear, one another.
      */
     @Test
-    void watchesEightOverAllDomainsAndIsWatchedByFourToTwelve() {
+    void probesEightOverAllDomainsAndIsProbedByFourToTwelve() {
         List<StateMember> roster = new ArrayList<>();
         for (int number = 1; number <= 40; number++) {
             roster.add(new StateMember(node(number), number, Samples.address("pl-" + number % 3)));
         }
-        Map<VmId, Integer> watchers = new HashMap<>();
-        for (StateMember watcher : roster) {
-            WatchList list = new WatchList(watcher.node(), new Rendezvous());
+        Map<VmId, Integer> proberCounts = new HashMap<>();
+        for (StateMember prober : roster) {
+            ProbedPeers probedPeers = new ProbedPeers(prober.node(), new Rendezvous());
             List<StateMember> peers = new ArrayList<>(roster);
-            peers.remove(watcher);
-            list.refresh(peers, watcher.address().domain(), now);
-            int near = 0;
-            for (Watch watch : list.all()) {
-                watchers.merge(watch.vm(), 1, Integer::sum);
-                int number = Integer.parseInt(watch.vm().value().substring("entry-".length()));
-                near += roster.get(number - 1)
+            peers.remove(prober);
+            probedPeers.refresh(peers, prober.address().domain(), now);
+            int inOwnDomain = 0;
+            for (ProbedPeer peer : probedPeers.all()) {
+                proberCounts.merge(peer.vm(), 1, Integer::sum);
+                int number = Integer.parseInt(peer.vm().value().substring("entry-".length()));
+                inOwnDomain += roster.get(number - 1)
                                 .address()
                                 .domain()
-                                .equals(watcher.address().domain())
+                                .equals(prober.address().domain())
                         ? 1
                         : 0;
             }
-            assertThat(list.all()).hasSize(8);
-            assertThat(near).isEqualTo(2);
+            assertThat(probedPeers.all()).hasSize(8);
+            assertThat(inOwnDomain).isEqualTo(2);
         }
-        assertThat(watchers).hasSize(40);
-        assertThat(watchers.values()).allMatch(count -> count >= 4 && count <= 12);
+        assertThat(proberCounts).hasSize(40);
+        assertThat(proberCounts.values()).allMatch(count -> count >= 4 && count <= 12);
     }
 
     /**
-     * A cold upstream gets two nodes' work. The owner was cut off from the log while another node joined, owned the
-     * upstream and was removed; it reads both records at once, sees itself as the owner before and after, and grants at
-     * once, while the other's last allowances live on.
+     * Guards against two nodes granting for one cold upstream. The owner was cut off from the log while another node
+     * joined, owned the upstream and was removed. It reads both records at once, is the owner before and after, and
+     * must not grant while the last allowances of the other node are valid.
      */
     @Test
     void anOwnershipLostAndRegainedInOneBatchIsANewOne() {
@@ -319,9 +326,9 @@
         tick(Timing.HANDOVER.toMillis());
         read();
         assertThat(members.mayGrant(UPSTREAM, now)).isTrue();
-        NodeId rival = rival();
-        append(RosterChangeKind.JOIN, rival, rival);
-        long regained = append(RosterChangeKind.REMOVE, rival, SELF);
+        NodeId preferredNode = preferredNode();
+        append(RosterChangeKind.JOIN, preferredNode, preferredNode);
+        long regained = append(RosterChangeKind.REMOVE, preferredNode, SELF);
         read();
         assertThat(members.ownerOf(UPSTREAM)).contains(SELF);
         assertThat(members.mayGrant(UPSTREAM, now)).isFalse();
@@ -333,9 +340,11 @@
         assertThat(members.mayGrant(UPSTREAM, now)).isTrue();
     }
 
-    /** The same, but the records were dropped and the node takes a peer's state instead, in which nothing shows. */
+    /**
+     * The same case, but the node replaces its state by that of a peer, in which the change of owner is not visible.
+     */
     @Test
-    void anOwnershipInAStateThatWasTakenOverIsANewOne() {
+    void anOwnershipInAnAdoptedStateIsANewOne() {
         members.onVmList(List.of(UPSTREAM), now);
         roster(1);
         tick(Timing.HANDOVER.toMillis());
@@ -346,7 +355,7 @@
         assertThat(members.fencingNumber(UPSTREAM)).isEqualTo(9);
     }
 
-    /** An upstream that the list shows only now may have been another node's until the last record. */
+    /** An upstream that is listed late may have had another owner until the last roster record. */
     @Test
     void anUpstreamListedLateCountsFromTheLastRosterRecord() {
         roster(1);
@@ -360,8 +369,8 @@
         assertThat(members.mayGrant(UPSTREAM, now)).isFalse();
     }
 
-    /** A node whose VM comes first in the rendezvous order for the upstream. */
-    private static NodeId rival() {
+    /** A node whose VM ranks before this node in the rendezvous order for the upstream. */
+    private static NodeId preferredNode() {
         Rendezvous rendezvous = new Rendezvous();
         long own = rendezvous.score("engine-1", SELF.vm().value());
         for (int number = 2; ; number++) {
@@ -372,7 +381,7 @@
     }
 
     @Test
-    void theOwnerLivesInTheUpstreamsOwnDomainWhereOneDoes() {
+    void theOwnerIsInTheUpstreamsDomainIfThatHasANode() {
         roster(6);
         stream.append(
                 new RosterChange(RosterChangeKind.JOIN, node(7), node(7), Optional.of(Samples.address("pl-b"))), now);
@@ -383,20 +392,22 @@
     }
 
     /**
-     * A bit flips in one node's memory, and it sends work to a zone that is out. Its peers at the same offset agree on
-     * another digest: it must take their state, though it is not newer.
+     * A bit flip corrupts the state of one node, and it sends work to a zone that is out of service. Its peers at the
+     * same offset agree on another digest, and it must adopt their state although that is not newer.
      */
     @Test
-    void aCorruptNodeTakesTheStateThatTwoPeersAgreeOn() {
+    void aCorruptNodeAdoptsTheStateThatTwoPeersAgreeOn() {
         stream.append(Samples.change("anita", "c", 0, Samples.service(true)), now);
         roster(3);
-        ControlState sound = new ControlState();
-        stream.all().forEach(sound::apply);
+        ControlState correct = new ControlState();
+        stream.all().forEach(correct::apply);
         state.repair(1, state.through(), List.of(), List.of());
-        assertThat(state.entries()).as("a wrong digest is not taken").isNotEmpty();
+        assertThat(state.entries())
+                .as("a state with a wrong digest is rejected")
+                .isNotEmpty();
         corrupt();
         tick(500);
-        Position position = new Position(sound.through(), sound.digest());
+        Position position = new Position(correct.through(), correct.digest());
         answer(2, position, Duration.ZERO, true);
         tick(500);
         assertThat(last)
@@ -406,13 +417,13 @@
         tick(500);
         VmId asked = new VmId(asks(new VmId("entry-2")) ? "entry-2" : "entry-3");
         assertThat(asks(asked)).isTrue();
-        StateReply reply = new StateReply(sound.through(), sound.entries(), sound.members());
+        StateReply reply = new StateReply(correct.through(), correct.entries(), correct.members());
         members.onPeerMessage(new NodeId(asked, 1), reply, now, effects);
-        assertThat(state.digest()).isEqualTo(sound.digest());
+        assertThat(state.digest()).isEqualTo(correct.digest());
         assertThat(state.inService(UPSTREAM)).isFalse();
     }
 
-    /** Replaces the entry by one that says the opposite, with a digest that fits. */
+    /** Replaces the entry by one with the opposite value, with a matching digest. */
     private void corrupt() {
         ControlState other = new ControlState();
         List<StateEntry> flipped = List.of(new StateEntry(Samples.service(false).key(), 1, Samples.service(false)));
