--- a/wagtaillug-core/src/main/java/org/wagtaillug/routing/Choice.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/routing/Choice.java
@@ -5,10 +5,10 @@
 import org.wagtaillug.membership.Vm;
 
 /**
- * Where an attempt goes and why not elsewhere.
+ * The upstream selected for an attempt, with the reasons for the decision log.
  *
- * @param upstream the chosen one; empty when none may take it now
- * @param reason why this one, or why none
- * @param alternatives some that were not chosen, each with its reason
+ * @param upstream the selected upstream; empty if none is eligible
+ * @param reason why it was selected, or why none is eligible
+ * @param alternatives some of the upstreams that were not selected, each with its reason
  */
 public record Choice(Optional<Vm> upstream, String reason, List<String> alternatives) {}
--- a/wagtaillug-core/src/main/java/org/wagtaillug/routing/LeastCompletionPolicy.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/routing/LeastCompletionPolicy.java
@@ -15,33 +15,33 @@
 import org.wagtaillug.membership.Vm;
 
 /**
- * Chooses, among the upstreams that this node holds an allowance for, the one that is expected to finish first.
+ * Selects the upstream with the earliest expected completion among those for which this node holds an allowance.
  *
- * <p>The expectation is the upstream's own mean time, stretched by the work that stands before the attempt: what the
- * load report says, and never less than what this node itself has in flight there, since the report lags behind. A
- * server that is known to hold the prompt's prefix is preferred as long as it is not much busier than the best.
+ * <p>The estimate is the upstream's mean attempt duration, scaled by the work queued ahead of the attempt: the load that
+ * the upstream reports, but at least this node's own requests in flight there, because reports lag. The engine that is
+ * expected to have the prompt's prefix cached gets a discount, so it is preferred unless it is much busier.
  */
 public final class LeastCompletionPolicy implements RoutingPolicy {
-    /** Stands for the time of an upstream or pool of which nothing was seen yet. */
-    static final Duration UNSEEN_WORK = Duration.ofMillis(100);
+    /** Assumed duration of an attempt for a pool without samples. */
+    static final Duration DEFAULT_ATTEMPT_DURATION = Duration.ofMillis(100);
 
-    /** What a call into another failure domain adds, there and back. */
-    static final Duration DOMAIN_PENALTY = Duration.ofMillis(3);
+    /** Round-trip time added by a call into another failure domain. */
+    static final Duration CROSS_DOMAIN_ROUND_TRIP = Duration.ofMillis(3);
 
-    /** The share of an engine's time that a cached prefix is taken to save. */
-    static final double PREFIX_SAVING = 0.25;
+    /** Assumed fraction of an engine's processing time that a cached prefix saves. */
+    static final double CACHED_PREFIX_SAVING = 0.25;
 
-    private static final int LOGGED_ALTERNATIVES = 4;
-    private static final double TENTH_OF_MILLI = 1e5;
+    private static final int MAX_LOGGED_ALTERNATIVES = 4;
+    private static final double NANOS_PER_TENTH_MILLI = 1e5;
 
     private final Rendezvous rendezvous = new Rendezvous();
     private final Upstreams upstreams;
     private final DomainId domain;
 
     /**
-     * Chooses among the given upstreams.
+     * Creates a policy for a node.
      *
-     * @param upstreams what is known of them
+     * @param upstreams the state of the upstreams
      * @param domain this node's failure domain
      */
     public LeastCompletionPolicy(Upstreams upstreams, DomainId domain) {
@@ -55,37 +55,37 @@
         Vm best = null;
         double bestScore = Double.POSITIVE_INFINITY;
         List<String> alternatives = new ArrayList<>();
-        Optional<VmId> home = prefixHome(stage, prefix, pool);
-        Duration unseen = upstreams.quantile(stage.pool(), 0.5).orElse(UNSEEN_WORK);
+        Optional<VmId> prefixHome = prefixHome(stage, prefix, pool);
+        Duration defaultDuration = upstreams.quantile(stage.pool(), 0.5).orElse(DEFAULT_ATTEMPT_DURATION);
         for (Vm vm : pool) {
-            String obstacle = obstacle(vm, stage, excluded, now);
-            if (!obstacle.isEmpty()) {
-                note(alternatives, vm, obstacle);
+            String ineligibilityReason = ineligibilityReason(vm, stage, excluded, now);
+            if (!ineligibilityReason.isEmpty()) {
+                addAlternative(alternatives, vm, ineligibilityReason);
                 continue;
             }
-            double score = expectedNanos(vm, unseen, home);
+            double score = expectedNanos(vm, defaultDuration, prefixHome);
             if (score >= bestScore) {
-                note(alternatives, vm, score);
+                addAlternative(alternatives, vm, score);
                 continue;
             }
             if (best != null) {
-                note(alternatives, best, bestScore);
+                addAlternative(alternatives, best, bestScore);
             }
             best = vm;
             bestScore = score;
         }
         if (best == null) {
-            return new Choice(Optional.empty(), "none of " + pool.size() + " may take it now", alternatives);
+            return new Choice(Optional.empty(), "none of " + pool.size() + " upstreams is eligible", alternatives);
         }
-        return new Choice(Optional.of(best), "expected " + millis(bestScore), alternatives);
+        return new Choice(Optional.of(best), "expected completion in " + millis(bestScore), alternatives);
     }
 
-    private String obstacle(Vm vm, Stage stage, Set<VmId> excluded, Instant now) {
+    private String ineligibilityReason(Vm vm, Stage stage, Set<VmId> excluded, Instant now) {
         if (excluded.contains(vm.id())) {
-            return "tried before";
+            return "already tried";
         }
         if (!upstreams.usable(vm.id(), now)) {
-            return "failed just now";
+            return "suspended after failures";
         }
         if (!servesModel(vm, stage)) {
             return "serves another model";
@@ -96,7 +96,7 @@
         return "";
     }
 
-    /** An engine that has not reported yet gets the benefit of the doubt. */
+    /** An engine without a load report is assumed to serve the model. */
     private boolean servesModel(Vm vm, Stage stage) {
         Optional<LoadReport> report = upstreams.report(vm.id());
         if (stage.model().isEmpty() || report.isEmpty()) {
@@ -105,22 +105,23 @@
         return report.get().model().equals(stage.model());
     }
 
-    private double expectedNanos(Vm vm, Duration unseen, Optional<VmId> home) {
-        double work = upstreams.expected(vm.id()).orElse(unseen).toNanos();
+    private double expectedNanos(Vm vm, Duration defaultDuration, Optional<VmId> prefixHome) {
+        double attemptNanos =
+                upstreams.expected(vm.id()).orElse(defaultDuration).toNanos();
         Optional<LoadReport> report = upstreams.report(vm.id());
-        int own = upstreams.inFlight(vm.id());
-        int reported = report.map(load -> load.running() + load.waiting()).orElse(0);
+        int ownInFlight = upstreams.inFlight(vm.id());
+        int reportedLoad = report.map(load -> load.running() + load.waiting()).orElse(0);
         int slots = Math.max(1, report.map(LoadReport::slots).orElse(1));
-        double ahead = Math.max(own, reported);
-        double waves = ahead / slots;
-        if (home.isPresent() && home.get().equals(vm.id())) {
-            work *= 1 - PREFIX_SAVING;
+        double queuedAhead = Math.max(ownInFlight, reportedLoad);
+        double queuedRounds = queuedAhead / slots;
+        if (prefixHome.isPresent() && prefixHome.get().equals(vm.id())) {
+            attemptNanos *= 1 - CACHED_PREFIX_SAVING;
         }
-        double far = vm.domain().equals(domain) ? 0 : DOMAIN_PENALTY.toNanos();
-        return work * (1 + waves) + far;
+        double crossDomainNanos = vm.domain().equals(domain) ? 0 : CROSS_DOMAIN_ROUND_TRIP.toNanos();
+        return attemptNanos * (1 + queuedRounds) + crossDomainNanos;
     }
 
-    /** The engine on which requests with this prefix gather, so that its cache serves them all. */
+    /** The engine to which all nodes route requests with this prefix, so that they share its cache. */
     private Optional<VmId> prefixHome(Stage stage, String prefix, List<Vm> pool) {
         if (stage.work() != StageWork.GENERATE || prefix.isEmpty()) {
             return Optional.empty();
@@ -128,21 +129,21 @@
         return rendezvous.first(prefix, pool).map(Vm::id);
     }
 
-    /** Writes a number out only if it will be logged: among 740 upstreams that is all but four times not so. */
-    private static void note(List<String> alternatives, Vm vm, double score) {
-        if (alternatives.size() < LOGGED_ALTERNATIVES) {
+    /** Formats the score only if it will be logged: of up to 740 upstreams in a pool, only four are. */
+    private static void addAlternative(List<String> alternatives, Vm vm, double score) {
+        if (alternatives.size() < MAX_LOGGED_ALTERNATIVES) {
             alternatives.add(vm.id() + ": " + millis(score));
         }
     }
 
-    private static void note(List<String> alternatives, Vm vm, String reason) {
-        if (alternatives.size() < LOGGED_ALTERNATIVES) {
+    private static void addAlternative(List<String> alternatives, Vm vm, String reason) {
+        if (alternatives.size() < MAX_LOGGED_ALTERNATIVES) {
             alternatives.add(vm.id() + ": " + reason);
         }
     }
 
     private static String millis(double nanos) {
-        return Math.round(nanos / TENTH_OF_MILLI) / 10.0 + " ms";
+        return Math.round(nanos / NANOS_PER_TENTH_MILLI) / 10.0 + " ms";
     }
 
     @Override
--- a/wagtaillug-core/src/main/java/org/wagtaillug/routing/PrefixDemand.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/routing/PrefixDemand.java
@@ -8,45 +8,46 @@
 import java.util.List;
 import java.util.Map;
 
-/** Which share of the prompts that this node sends of late has a part, counted by their tokens. */
+/** Tracks which fraction of this node's recent prompts, weighted by their tokens, contains each prefix segment. */
 final class PrefixDemand {
-    /** Long enough to see a part that is much asked for several times, short enough to follow a change. */
+    /** Long enough to see a popular segment several times, short enough to follow changes in demand. */
     private static final Duration WINDOW = Duration.ofSeconds(10);
 
-    /** While less is known, one long prompt would look like most of the load. */
+    /** With fewer samples, a single long prompt would look like most of the load. */
     private static final int MIN_PROMPTS = 8;
 
-    private final Deque<Seen> seen = new ArrayDeque<>();
+    private final Deque<RecentPrompt> recent = new ArrayDeque<>();
     private final Map<String, Long> tokens = new HashMap<>();
-    private long total;
+    private long totalTokens;
 
-    private record Seen(Instant at, List<PrefixSegment> parts, int tokens) {}
+    private record RecentPrompt(Instant at, List<PrefixSegment> segments, int tokens) {}
 
-    void onPrompt(List<PrefixSegment> parts, int promptTokens, Instant now) {
-        forget(now);
-        seen.addLast(new Seen(now, parts, promptTokens));
-        total += promptTokens;
-        parts.forEach(part -> tokens.merge(part.id(), (long) promptTokens, Long::sum));
+    void onPrompt(List<PrefixSegment> segments, int promptTokens, Instant now) {
+        expire(now);
+        recent.addLast(new RecentPrompt(now, segments, promptTokens));
+        totalTokens += promptTokens;
+        segments.forEach(segment -> tokens.merge(segment.id(), (long) promptTokens, Long::sum));
     }
 
-    /** Whether enough prompts were sent of late to tell shares. */
-    boolean known(Instant now) {
-        forget(now);
-        return seen.size() >= MIN_PROMPTS && total > 0;
+    /** Whether there are enough recent prompts to estimate shares. */
+    boolean hasEnoughSamples(Instant now) {
+        expire(now);
+        return recent.size() >= MIN_PROMPTS && totalTokens > 0;
     }
 
-    /** From 0 to 1; only if it is known. */
-    double share(PrefixSegment part) {
-        return (double) tokens.getOrDefault(part.id(), 0L) / total;
+    /** The fraction of recent prompt tokens whose prompts contain a segment, 0 to 1; requires enough samples. */
+    double share(PrefixSegment segment) {
+        return (double) tokens.getOrDefault(segment.id(), 0L) / totalTokens;
     }
 
-    private void forget(Instant now) {
+    private void expire(Instant now) {
         Instant oldest = now.minus(WINDOW);
-        while (!seen.isEmpty() && seen.peekFirst().at().isBefore(oldest)) {
-            Seen gone = seen.removeFirst();
-            total -= gone.tokens();
-            for (PrefixSegment part : gone.parts()) {
-                tokens.computeIfPresent(part.id(), (id, sum) -> sum > gone.tokens() ? sum - gone.tokens() : null);
+        while (!recent.isEmpty() && recent.peekFirst().at().isBefore(oldest)) {
+            RecentPrompt expired = recent.removeFirst();
+            totalTokens -= expired.tokens();
+            for (PrefixSegment segment : expired.segments()) {
+                tokens.computeIfPresent(
+                        segment.id(), (id, sum) -> sum > expired.tokens() ? sum - expired.tokens() : null);
             }
         }
     }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/routing/PrefixHistory.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/routing/PrefixHistory.java
@@ -9,41 +9,42 @@
 import org.wagtaillug.id.VmId;
 
 /**
- * Where this node has sent the parts of prompts lately. An engine that was chosen because the home of a part had too much to
- * do keeps the part as well; the next request that overflows should not have it read by yet another engine.
+ * Tracks the engines to which this node has recently sent each prefix segment. When a segment's home is overloaded, requests
+ * spill over to another engine, which then has the segment cached as well. Later requests that spill over prefer that engine
+ * instead of making a third one read the segment.
  */
 final class PrefixHistory {
-    /** An engine under load reads as much as its memory holds in about this time. */
-    private static final Duration REMEMBERED = Duration.ofSeconds(10);
+    /** An engine under load reads enough prompts in about this time to replace its whole cache. */
+    private static final Duration RETENTION = Duration.ofSeconds(10);
 
     private static final int MAX_SEGMENTS = 4096;
 
-    private final Map<String, Map<VmId, Instant>> engines = new LinkedHashMap<>(16, 0.75f, true) {
+    private final Map<String, Map<VmId, Instant>> sentBySegment = new LinkedHashMap<>(16, 0.75f, true) {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Map<VmId, Instant>> eldest) {
             return size() > MAX_SEGMENTS;
         }
     };
 
-    void onSent(List<PrefixSegment> parts, VmId engine, Instant now) {
-        for (PrefixSegment part : parts) {
-            Map<VmId, Instant> known = engines.computeIfAbsent(part.id(), id -> new HashMap<>());
-            known.values().removeIf(at -> lapsed(at, now));
-            known.put(engine, now);
+    void onSent(List<PrefixSegment> segments, VmId engine, Instant now) {
+        for (PrefixSegment segment : segments) {
+            Map<VmId, Instant> sentTimes = sentBySegment.computeIfAbsent(segment.id(), id -> new HashMap<>());
+            sentTimes.values().removeIf(at -> expired(at, now));
+            sentTimes.put(engine, now);
         }
     }
 
-    boolean lies(PrefixSegment part, VmId engine, Instant now) {
-        Instant at = engines.getOrDefault(part.id(), Map.of()).get(engine);
-        return at != null && !lapsed(at, now);
+    boolean recentlySent(PrefixSegment segment, VmId engine, Instant now) {
+        Instant at = sentBySegment.getOrDefault(segment.id(), Map.of()).get(engine);
+        return at != null && !expired(at, now);
     }
 
-    /** An engine has started anew and keeps nothing. */
+    /** Forgets an engine that has restarted with an empty cache. */
     void forget(VmId engine) {
-        engines.values().forEach(known -> known.remove(engine));
+        sentBySegment.values().forEach(sentTimes -> sentTimes.remove(engine));
     }
 
-    private static boolean lapsed(Instant at, Instant now) {
-        return now.isAfter(at.plus(REMEMBERED));
+    private static boolean expired(Instant at, Instant now) {
+        return now.isAfter(at.plus(RETENTION));
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/routing/PrefixPlacement.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/routing/PrefixPlacement.java
@@ -14,70 +14,71 @@
 import org.wagtaillug.policy.PolicyFeatures;
 
 /**
- * Which engines are likely to keep the segments of a prompt.
+ * Determines the home engines of prefix segments: those that are likely to have them cached.
  *
- * <p>Every node names the same engines for a segment by rendezvous hashing, so requests that share it meet there without a
- * message between nodes. A segment that few ask for has one engine: with more, each reads it for itself, and most of its
- * requests find it nowhere. One that carries much of the load gets engines for it, or its one engine would be the slowest.
- * A segment that is not longer than the one before it is placed among that one's engines, as it is of no use without it and
- * reading the longer one again costs more. A longer one is placed by itself: all sessions of a house would else share the
- * few engines of their house, and a node that has seen little of a house gives it only one.
+ * <p>Every node assigns the same engines to a segment by rendezvous hashing, so requests that share it reach the same caches
+ * without coordination between nodes. A rarely requested segment has one home: with several, each engine would read it
+ * separately, and most of its requests would miss the cache. A segment that carries much of the load gets a number of homes
+ * in proportion, because a single engine would become the bottleneck. A segment that is not longer than the preceding one
+ * is placed among the homes of that one, because it is useless without it and reading the longer one again costs more. A
+ * longer segment is placed independently: otherwise all sessions of a house would share the few engines of that house, and a
+ * node that has sent few prompts of a house assigns it only one engine.
  */
 final class PrefixPlacement {
-    /** Homes for this many times the load of a part, as engines bear other load too. */
-    private static final int SPARE = 2;
+    /** Homes are provisioned for this many times a segment's load, because engines serve other load too. */
+    private static final int OVERPROVISION_FACTOR = 2;
 
-    /** While the demand is not known, a part that several sessions share lies at one engine in this many. */
-    private static final int FIXED_SHARE = 4;
+    /** Without demand samples, one engine in this many is a home of a segment that several sessions share. */
+    private static final int ENGINES_PER_FIXED_HOME = 4;
 
     private final PolicyFeatures features;
     private final Rendezvous rendezvous = new Rendezvous();
     private final PrefixDemand demand = new PrefixDemand();
-    private final PrefixHistory sent = new PrefixHistory();
+    private final PrefixHistory history = new PrefixHistory();
 
     PrefixPlacement(PolicyFeatures features) {
         this.features = features;
     }
 
-    /** Notes that an engine gets a prompt to read. */
-    void onSent(List<PrefixSegment> parts, int promptTokens, VmId engine, Instant now) {
-        demand.onPrompt(parts, promptTokens, now);
-        sent.onSent(parts, engine, now);
+    /** Records that a prompt was sent to an engine. */
+    void onSent(List<PrefixSegment> segments, int promptTokens, VmId engine, Instant now) {
+        demand.onPrompt(segments, promptTokens, now);
+        history.onSent(segments, engine, now);
     }
 
-    /** An engine has started anew and keeps nothing. */
+    /** Forgets an engine that has restarted with an empty cache. */
     void forget(VmId engine) {
-        sent.forget(engine);
+        history.forget(engine);
     }
 
-    /** The homes of each part of a prompt, in order. */
-    List<Set<VmId>> of(List<PrefixSegment> parts, List<Upstream> engines, Instant now) {
-        boolean byDemand = features.uses(PolicyFeature.HOMES_BY_DEMAND) && demand.known(now);
+    /** The homes of each segment of a prompt, in the order of the segments. */
+    List<Set<VmId>> homes(List<PrefixSegment> segments, List<Upstream> engines, Instant now) {
+        boolean byDemand = features.uses(PolicyFeature.HOMES_BY_DEMAND) && demand.hasEnoughSamples(now);
         List<Set<VmId>> homes = new ArrayList<>();
-        List<Upstream> among = engines;
-        for (int place = 0; place < parts.size(); place++) {
-            PrefixSegment part = parts.get(place);
-            boolean last = place == parts.size() - 1;
-            int count = byDemand ? byDemand(part, engines.size()) : fixed(last, engines.size());
-            List<Upstream> chosen = highest(part, among, count);
+        List<Upstream> candidates = engines;
+        for (int index = 0; index < segments.size(); index++) {
+            PrefixSegment segment = segments.get(index);
+            boolean last = index == segments.size() - 1;
+            int count = byDemand ? homesByDemand(segment, engines.size()) : fixedHomes(last, engines.size());
+            List<Upstream> homeEngines = highestScoring(segment, candidates, count);
             Set<VmId> ids = new HashSet<>();
-            chosen.forEach(engine -> ids.add(engine.id()));
+            homeEngines.forEach(engine -> ids.add(engine.id()));
             homes.add(ids);
-            boolean nextIsLonger = !last && parts.get(place + 1).tokens() > part.tokens();
-            among = byDemand && !nextIsLonger ? chosen : engines;
+            boolean nextIsLonger = !last && segments.get(index + 1).tokens() > segment.tokens();
+            candidates = byDemand && !nextIsLonger ? homeEngines : engines;
         }
         return homes;
     }
 
-    /** The engines with the highest scores for a part; each is scored once. */
-    private List<Upstream> highest(PrefixSegment part, List<Upstream> engines, int count) {
+    /** The engines with the highest rendezvous scores for a segment, computing each score once. */
+    private List<Upstream> highestScoring(PrefixSegment segment, List<Upstream> engines, int count) {
         if (count >= engines.size()) {
             return engines;
         }
         Comparator<Scored> lowestFirst = Comparator.comparingLong(Scored::score);
         PriorityQueue<Scored> highest = new PriorityQueue<>(count + 1, lowestFirst);
         for (Upstream engine : engines) {
-            long score = rendezvous.score(part.id(), engine.id().value());
+            long score = rendezvous.score(segment.id(), engine.id().value());
             if (highest.size() == count && score <= highest.peek().score()) {
                 continue;
             }
@@ -86,35 +87,36 @@
                 highest.remove();
             }
         }
-        List<Upstream> found = new ArrayList<>();
-        highest.forEach(scored -> found.add(scored.engine()));
-        return found;
+        List<Upstream> selected = new ArrayList<>();
+        highest.forEach(scored -> selected.add(scored.engine()));
+        return selected;
     }
 
     private record Scored(Upstream engine, long score) {}
 
-    private int byDemand(PrefixSegment part, int engines) {
-        return (int) Math.max(1, Math.ceil(SPARE * demand.share(part) * engines));
+    private int homesByDemand(PrefixSegment segment, int engines) {
+        return (int) Math.max(1, Math.ceil(OVERPROVISION_FACTOR * demand.share(segment) * engines));
     }
 
-    private static int fixed(boolean last, int engines) {
-        return last ? 1 : Math.max(1, engines / FIXED_SHARE);
+    private static int fixedHomes(boolean last, int engines) {
+        return last ? 1 : Math.max(1, engines / ENGINES_PER_FIXED_HOME);
     }
 
     /**
-     * How many tokens of the parts an engine is likely to have to read. One that keeps a part keeps those before it too: the
-     * request that brought the part brought them.
+     * Estimates how many tokens of the segments an engine does not have cached. An engine that has a segment cached also has
+     * the preceding ones, because they arrived in the same request.
      */
-    long missing(List<PrefixSegment> parts, List<Set<VmId>> homes, VmId engine, Instant now) {
-        long missing = 0;
-        for (int place = parts.size() - 1; place >= 0; place--) {
-            PrefixSegment part = parts.get(place);
-            boolean remembered = features.uses(PolicyFeature.SENT_PARTS) && sent.lies(part, engine, now);
-            if (remembered || homes.get(place).contains(engine)) {
-                return missing;
+    long uncachedTokens(List<PrefixSegment> segments, List<Set<VmId>> homes, VmId engine, Instant now) {
+        long uncachedTokens = 0;
+        for (int index = segments.size() - 1; index >= 0; index--) {
+            PrefixSegment segment = segments.get(index);
+            boolean recentlySent =
+                    features.uses(PolicyFeature.SENT_PARTS) && history.recentlySent(segment, engine, now);
+            if (recentlySent || homes.get(index).contains(engine)) {
+                return uncachedTokens;
             }
-            missing += part.tokens();
+            uncachedTokens += segment.tokens();
         }
-        return missing;
+        return uncachedTokens;
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/routing/PrefixSegment.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/routing/PrefixSegment.java
@@ -1,9 +1,9 @@
 package org.wagtaillug.routing;
 
 /**
- * A part of a prompt, which other requests may share.
+ * A segment of a prompt that other requests may share.
  *
- * @param id the same wherever the part is the same
- * @param tokens its length
+ * @param id identifies the content: equal segments have equal ids
+ * @param tokens its length in tokens
  */
 public record PrefixSegment(String id, int tokens) {}
--- a/wagtaillug-core/src/main/java/org/wagtaillug/routing/RoundRobinPolicy.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/routing/RoundRobinPolicy.java
@@ -11,14 +11,14 @@
 import org.wagtaillug.id.VmId;
 import org.wagtaillug.membership.Vm;
 
-/** The baseline that the current policy is measured against: each upstream in turn, one retry, nothing else. */
+/** The baseline for measurements of the current policy: round robin with one retry. */
 public final class RoundRobinPolicy implements RoutingPolicy {
-    private static final int MOST_ATTEMPTS = 2;
+    private static final int MAX_ATTEMPTS = 2;
 
     private final Upstreams upstreams;
     private final Map<PoolId, Integer> turns = new HashMap<>();
 
-    /** Chooses among the given upstreams. */
+    /** Creates a policy that rotates through the upstreams of each pool. */
     public RoundRobinPolicy(Upstreams upstreams) {
         this.upstreams = upstreams;
     }
@@ -30,12 +30,12 @@
             return new Choice(Optional.empty(), "no upstream in service", List.of());
         }
         int turn = turns.merge(stage.pool(), 1, Integer::sum);
-        return new Choice(Optional.of(pool.get(turn % pool.size())), "its turn", List.of());
+        return new Choice(Optional.of(pool.get(turn % pool.size())), "round robin", List.of());
     }
 
     @Override
     public int mostAttempts(Stage stage) {
-        return MOST_ATTEMPTS;
+        return MAX_ATTEMPTS;
     }
 
     @Override
--- a/wagtaillug-core/src/main/java/org/wagtaillug/routing/RoutingPolicy.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/routing/RoutingPolicy.java
@@ -5,27 +5,27 @@
 import org.wagtaillug.contract.Stage;
 import org.wagtaillug.id.VmId;
 
-/** A way of choosing upstreams, retries and hedges. */
+/** A strategy for upstream selection, retries and hedging. */
 public sealed interface RoutingPolicy permits LeastCompletionPolicy, RoundRobinPolicy {
     /**
-     * Chooses the upstream of one attempt.
+     * Selects the upstream of one attempt.
      *
-     * @param stage what is to be done
-     * @param prefix the name of the prompt's shared start; empty if there is none
-     * @param excluded upstreams that this request has tried or is trying
-     * @param now the present time
+     * @param stage the stage that the attempt executes
+     * @param prefix the id of the prompt's shared prefix; empty if there is none
+     * @param excluded upstreams with a finished or running attempt of this request
+     * @param now the current time
      */
     Choice choose(Stage stage, String prefix, Set<VmId> excluded, Instant now);
 
-    /** The most attempts of one stage, hedges included. */
+    /** The maximum number of attempts of one stage, including hedged ones. */
     int mostAttempts(Stage stage);
 
-    /** Whether retries are held to a share of the requests. */
+    /** Whether retries are limited to a fraction of the requests. */
     boolean budgetsRetries();
 
-    /** Whether straggling attempts get a rival. */
+    /** Whether slow attempts are hedged with a second one. */
     boolean hedges();
 
-    /** Whether requests that cannot make their deadline are refused early, and work is spread by share and worth. */
+    /** Whether requests that cannot meet their deadline are refused early, and capacity is divided by share and worth. */
     boolean refusesEarly();
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/routing/UpstreamChooser.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/routing/UpstreamChooser.java
@@ -20,50 +20,50 @@
 import org.wagtaillug.policy.PolicyFeatures;
 import org.wagtaillug.route.PoolProfile;
 
-/** Chooses the upstream of a request. */
+/** Selects the upstream of a request. */
 public final class UpstreamChooser {
-    /** What another failure domain adds there and back; the links' delay is about a millisecond each way. */
-    private static final Duration OTHER_DOMAIN = Duration.ofMillis(2);
+    /** Round-trip time added by another failure domain; the one-way delay of the links is about a millisecond. */
+    private static final Duration CROSS_DOMAIN_ROUND_TRIP = Duration.ofMillis(2);
 
-    /** Taken for a server of which nothing is known yet. */
+    /** Assumed request duration for a server without samples. */
     private static final Duration DEFAULT_DURATION = Duration.ofMillis(25);
 
-    /** What a request that runs at an engine delays the reading of a prompt by, in tokens: its share of the steps. */
+    /** How much each running request delays the reading of a prompt, in tokens: its share of the engine's steps. */
     private static final int DECODE_LOAD_TOKENS = 150;
 
-    /** A megabyte that crosses failure domains costs as much as reading so many tokens. */
+    /** Cost of transferring a megabyte between failure domains, as the equivalent number of prompt tokens. */
     private static final int CROSS_DOMAIN_TOKENS_PER_MEGABYTE = 170;
 
     private static final int MEGABYTE = 1_000_000;
 
     /**
-     * What an engine has to read.
+     * The prompt of a request to an engine, as far as routing needs it.
      *
-     * @param parts the parts that other requests may share, in order
+     * @param segments the segments that other requests may share, in order
      * @param tokens the length of the whole prompt
-     * @param inputsAt the failure domain where most of its inputs lie
-     * @param inputBytes how large they are
+     * @param inputsDomain the failure domain that holds most of its inputs
+     * @param inputBytes the size of the inputs
      */
-    public record Prompt(List<PrefixSegment> parts, int tokens, Optional<DomainId> inputsAt, long inputBytes) {
-        /** Copies the list. */
+    public record Prompt(List<PrefixSegment> segments, int tokens, Optional<DomainId> inputsDomain, long inputBytes) {
+        /** Makes a defensive copy of the list. */
         public Prompt {
-            parts = List.copyOf(parts);
+            segments = List.copyOf(segments);
         }
     }
 
-    private final Map<VmId, Long> unread = new HashMap<>();
+    private final Map<VmId, Long> queuedPromptTokens = new HashMap<>();
 
     private final UpstreamDirectory directory;
     private final UpstreamHealth health;
     private final UpstreamLimits limits;
     private final DomainId domain;
     private final PolicyFeatures features;
-    private final PrefixPlacement homes;
+    private final PrefixPlacement placement;
     private final Rendezvous rendezvous = new Rendezvous();
     private Prompt lastPrompt;
-    private List<Set<VmId>> lastPlacement = List.of();
+    private List<Set<VmId>> lastHomes = List.of();
 
-    /** Chooses among the upstreams of a directory, for a node in a failure domain. */
+    /** Creates a chooser for a node in a failure domain. */
     public UpstreamChooser(
             UpstreamDirectory directory,
             UpstreamHealth health,
@@ -75,121 +75,123 @@
         this.limits = limits;
         this.domain = domain;
         this.features = features;
-        this.homes = new PrefixPlacement(features);
+        this.placement = new PrefixPlacement(features);
     }
 
     /**
-     * The upstream for a request that may go to any version.
+     * Selects the upstream for a request that any version may serve.
      *
-     * @param tried upstreams that it must not go to again
-     * @param prompt what an engine is to read; of no matter to other upstreams
-     * @return empty if none may get it now
+     * @param tried upstreams to exclude because the request was sent there before
+     * @param prompt the prompt for an engine; ignored for other upstreams
+     * @return empty if no upstream is eligible
      */
     public Optional<Upstream> choose(PoolProfile pool, Set<VmId> tried, Prompt prompt, Instant now) {
         return choose(pool, VersionRule.ANY, tried, prompt, now);
     }
 
     /**
-     * The upstream for a request.
+     * Selects the upstream for a request.
      *
-     * @param versions the versions that it may go to
-     * @param tried upstreams that it must not go to again
-     * @param prompt what an engine is to read; of no matter to other upstreams
-     * @return empty if none may get it now
+     * @param versions the versions that may serve it
+     * @param tried upstreams to exclude because the request was sent there before
+     * @param prompt the prompt for an engine; ignored for other upstreams
+     * @return empty if no upstream is eligible
      */
     public Optional<Upstream> choose(
             PoolProfile pool, VersionRule versions, Set<VmId> tried, Prompt prompt, Instant now) {
-        List<Upstream> open = open(pool, versions, tried, now);
-        if (open.isEmpty()) {
+        List<Upstream> eligible = eligible(pool, versions, tried, now);
+        if (eligible.isEmpty()) {
             return Optional.empty();
         }
-        List<Upstream> trusted = new ArrayList<>(open);
-        trusted.removeIf(upstream -> !health.usable(upstream.id(), now));
-        // Servers that failed lately are used again when there is no other: a pool must not go dark by suspicion alone.
-        List<Upstream> candidates = trusted.isEmpty() ? open : trusted;
+        List<Upstream> healthy = new ArrayList<>(eligible);
+        healthy.removeIf(upstream -> !health.usable(upstream.id(), now));
+        // Falls back to suspended servers when there is no other: suspicion alone must not make a pool unavailable.
+        List<Upstream> candidates = healthy.isEmpty() ? eligible : healthy;
         if (pool.engine()) {
-            return Optional.of(forPrompt(candidates, prompt, now));
+            return Optional.of(selectEngine(candidates, prompt, now));
         }
-        return candidates.stream().min(Comparator.comparing(this::expected).thenComparing(Upstream::id));
+        return candidates.stream()
+                .min(Comparator.comparing(this::expectedCompletion).thenComparing(Upstream::id));
     }
 
-    private List<Upstream> open(PoolProfile pool, VersionRule versions, Set<VmId> tried, Instant now) {
-        List<Upstream> open = new ArrayList<>();
+    private List<Upstream> eligible(PoolProfile pool, VersionRule versions, Set<VmId> tried, Instant now) {
+        List<Upstream> eligible = new ArrayList<>();
         for (Upstream upstream : directory.usable(pool.id(), versions)) {
             boolean allowed = limits.allow(pool, upstream, health.inFlight(upstream.id()), now);
             if (allowed && !tried.contains(upstream.id())) {
-                open.add(upstream);
+                eligible.add(upstream);
             }
         }
-        return open;
+        return eligible;
     }
 
-    private Duration expected(Upstream upstream) {
-        Duration each = features.uses(PolicyFeature.LATENCY_CHOICE)
+    private Duration expectedCompletion(Upstream upstream) {
+        Duration perRequest = features.uses(PolicyFeature.LATENCY_CHOICE)
                 ? health.expected(upstream.id()).orElse(DEFAULT_DURATION)
                 : DEFAULT_DURATION;
-        Duration all = each.multipliedBy(health.inFlight(upstream.id()) + 1L);
-        return upstream.domain().equals(domain) ? all : all.plus(OTHER_DOMAIN);
+        Duration total = perRequest.multipliedBy(health.inFlight(upstream.id()) + 1L);
+        return upstream.domain().equals(domain) ? total : total.plus(CROSS_DOMAIN_ROUND_TRIP);
     }
 
-    /** How many tokens of a prompt an upstream is likely to keep from requests before it. */
+    /** Estimates how many tokens of a prompt an upstream has cached from earlier requests. */
     public long kept(Upstream upstream, Prompt prompt, Instant now) {
-        long shared = 0;
-        for (PrefixSegment part : prompt.parts()) {
-            shared += part.tokens();
+        long sharedTokens = 0;
+        for (PrefixSegment segment : prompt.segments()) {
+            sharedTokens += segment.tokens();
         }
-        List<Set<VmId>> placed = prompt.equals(lastPrompt)
-                ? lastPlacement
-                : homes.of(prompt.parts(), directory.usable(upstream.pool()), now);
-        return shared - homes.missing(prompt.parts(), placed, upstream.id(), now);
+        List<Set<VmId>> homes = prompt.equals(lastPrompt)
+                ? lastHomes
+                : placement.homes(prompt.segments(), directory.usable(upstream.pool()), now);
+        return sharedTokens - placement.uncachedTokens(prompt.segments(), homes, upstream.id(), now);
     }
 
-    /** A request goes to an upstream, which reads its prompt. */
+    /** Records that a request was sent to an upstream, which has to read its prompt. */
     public void onSent(VmId upstream, Prompt prompt, Instant now) {
-        unread.merge(upstream, (long) prompt.tokens(), Long::sum);
-        homes.onSent(prompt.parts(), prompt.tokens(), upstream, now);
+        queuedPromptTokens.merge(upstream, (long) prompt.tokens(), Long::sum);
+        placement.onSent(prompt.segments(), prompt.tokens(), upstream, now);
     }
 
-    /** An upstream has started anew under its name: it keeps no part of a prompt. */
+    /** Records that an upstream has restarted under the same id, with an empty cache. */
     public void onRestarted(VmId upstream) {
-        homes.forget(upstream);
+        placement.forget(upstream);
     }
 
-    /** The upstream has read them, or will not. */
+    /** Records that an upstream has read a prompt of so many tokens, or will not read it any more. */
     public void onRead(VmId upstream, int tokens) {
-        unread.computeIfPresent(upstream, (id, before) -> before > tokens ? before - tokens : null);
+        queuedPromptTokens.computeIfPresent(upstream, (id, before) -> before > tokens ? before - tokens : null);
     }
 
-    /** The engine with the least to read until the answer begins; of equal ones the first by rendezvous hashing. */
-    private Upstream forPrompt(List<Upstream> candidates, Prompt prompt, Instant now) {
-        String subject =
-                prompt.parts().isEmpty() ? "" : prompt.parts().getLast().id();
-        List<Set<VmId>> placed = homes.of(prompt.parts(), candidates, now);
+    /** The engine with the fewest tokens to read before the answer begins; ties are broken by rendezvous hashing. */
+    private Upstream selectEngine(List<Upstream> candidates, Prompt prompt, Instant now) {
+        String rendezvousKey =
+                prompt.segments().isEmpty() ? "" : prompt.segments().getLast().id();
+        List<Set<VmId>> homes = placement.homes(prompt.segments(), candidates, now);
         lastPrompt = prompt;
-        lastPlacement = placed;
+        lastHomes = homes;
         Upstream best = null;
-        long least = Long.MAX_VALUE;
-        long highest = Long.MIN_VALUE;
+        long fewestTokens = Long.MAX_VALUE;
+        long highestScore = Long.MIN_VALUE;
         for (Upstream upstream : candidates) {
-            long tokens = tokensBefore(upstream, prompt, placed, now);
-            long score = rendezvous.score(subject, upstream.id().value());
-            if (best == null || tokens < least || (tokens == least && score > highest)) {
+            long tokens = tokensToRead(upstream, prompt, homes, now);
+            long score = rendezvous.score(rendezvousKey, upstream.id().value());
+            if (best == null || tokens < fewestTokens || (tokens == fewestTokens && score > highestScore)) {
                 best = upstream;
-                least = tokens;
-                highest = score;
+                fewestTokens = tokens;
+                highestScore = score;
             }
         }
         return best;
     }
 
-    private long tokensBefore(Upstream upstream, Prompt prompt, List<Set<VmId>> placed, Instant now) {
-        long tokens =
-                unread.getOrDefault(upstream.id(), 0L) + (long) health.inFlight(upstream.id()) * DECODE_LOAD_TOKENS;
+    private long tokensToRead(Upstream upstream, Prompt prompt, List<Set<VmId>> homes, Instant now) {
+        long tokens = queuedPromptTokens.getOrDefault(upstream.id(), 0L)
+                + (long) health.inFlight(upstream.id()) * DECODE_LOAD_TOKENS;
         if (features.uses(PolicyFeature.PROMPT_HOMES)) {
-            tokens += homes.missing(prompt.parts(), placed, upstream.id(), now);
+            tokens += placement.uncachedTokens(prompt.segments(), homes, upstream.id(), now);
         }
-        boolean far = prompt.inputsAt().isPresent() && !prompt.inputsAt().get().equals(upstream.domain());
-        return far && features.uses(PolicyFeature.NEARNESS)
+        boolean crossesDomains = prompt.inputsDomain().isPresent()
+                && !prompt.inputsDomain().get().equals(upstream.domain());
+        return crossesDomains && features.uses(PolicyFeature.NEARNESS)
                 ? tokens + prompt.inputBytes() * CROSS_DOMAIN_TOKENS_PER_MEGABYTE / MEGABYTE
                 : tokens;
     }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/routing/UpstreamLimits.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/routing/UpstreamLimits.java
@@ -7,13 +7,13 @@
 import org.wagtaillug.route.PoolProfile;
 
 /**
- * This node's share of what all nodes together may send to one upstream.
+ * Enforces this node's share of the limits that apply to one upstream across all nodes.
  *
- * <p>Guards against an upstream that is overrun although each node sends it little: its connections are divided by the
- * number of nodes, and while it is cold only a few nodes send to it at all.
+ * <p>Prevents an upstream from being overloaded by many nodes that each send it little: its connections are divided by the
+ * number of nodes, and while it is cold only a few nodes may send to it.
  */
 public final class UpstreamLimits {
-    /** Part of the bound that is used: nodes that join count before all others have heard of them. */
+    /** Fraction of the bound that is used, because joining nodes count before all other nodes know of them. */
     private static final double COLD_HEADROOM = 0.8;
 
     private final Roster roster;
@@ -21,21 +21,21 @@
     private final ColdBound coldBound;
 
     /**
-     * The bound on requests that a cold upstream gets in a second, from all nodes together.
+     * The limit on requests per second from all nodes to a cold upstream.
      *
-     * @param ratio of what its pool says that a cold server bears
-     * @param fixed requests a second beyond that
+     * @param ratio multiple of the pool's configured cold capacity
+     * @param fixed requests per second in addition
      */
     public record ColdBound(double ratio, double fixed) {}
 
-    /** Shares limits among the members of a roster. */
+    /** Creates limits that are divided among the members of a roster. */
     public UpstreamLimits(Roster roster, WarmupRateLimiter warmupLimiter, ColdBound coldBound) {
         this.roster = roster;
         this.warmupLimiter = warmupLimiter;
         this.coldBound = coldBound;
     }
 
-    /** Whether one more request may go to an upstream at which so many of this node's are under way. */
+    /** Whether one more request may go to an upstream where this node has so many in flight. */
     boolean allow(PoolProfile pool, Upstream upstream, int inFlight, Instant now) {
         if (inFlight >= Math.max(1, pool.connections() / roster.sharers())) {
             return false;
@@ -46,7 +46,7 @@
         return warmupLimiter.allows(upstream.id(), now) && roster.maySendToCold(upstream.id(), coldSenders(pool), now);
     }
 
-    /** Each sender sends at most one request in any second, so a bound on requests is one on senders. */
+    /** Each node sends at most one request in any second, so the limit on requests is a limit on sending nodes. */
     private int coldSenders(PoolProfile pool) {
         double bound = pool.coldPerSecond() * coldBound.ratio() + coldBound.fixed();
         return (int) Math.max(1, bound * COLD_HEADROOM);
--- a/wagtaillug-core/src/main/java/org/wagtaillug/routing/package-info.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/routing/package-info.java
@@ -1,2 +1,2 @@
-/** Which upstream gets the next attempt, and how many attempts beyond the first there may be. */
+/** Upstream selection, and the policies for retries and hedging. */
 package org.wagtaillug.routing;
--- a/wagtaillug-core/src/test/java/org/wagtaillug/routing/PrefixPlacementTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/routing/PrefixPlacementTest.java
@@ -22,14 +22,14 @@
 import org.wagtaillug.policy.PolicyFeatures;
 import org.wagtaillug.route.PoolProfile;
 
-/** Twelve engines and six nodes that know nothing of one another. */
+/** Twelve engines and six nodes that do not share state. */
 class PrefixPlacementTest {
     private static final PoolId POOL = new PoolId("model");
     private static final DomainId DOMAIN = new DomainId("north");
     private static final PoolProfile ENGINES = new PoolProfile(POOL, 3000, 0, Optional.empty(), true);
     private static final int MANUALS = 100;
     private static final int MANUAL_TOKENS = 13_000;
-    private static final int OWN_TOKENS = 3_000;
+    private static final int UNIQUE_TOKENS = 3_000;
 
     private final UpstreamDirectory directory = new UpstreamDirectory();
     private final List<UpstreamChooser> nodes = new ArrayList<>();
@@ -57,10 +57,10 @@
 
     private static UpstreamChooser.Prompt prompt(String manual) {
         return new UpstreamChooser.Prompt(
-                List.of(new PrefixSegment(manual, MANUAL_TOKENS)), MANUAL_TOKENS + OWN_TOKENS, Optional.empty(), 0);
+                List.of(new PrefixSegment(manual, MANUAL_TOKENS)), MANUAL_TOKENS + UNIQUE_TOKENS, Optional.empty(), 0);
     }
 
-    /** A node sends a prompt, and its engine reads it before the next one comes. */
+    /** Sends a prompt from a node; the engine has read it before the next one arrives. */
     private VmId send(int node, UpstreamChooser.Prompt prompt) {
         now = now.plusMillis(50);
         UpstreamChooser chooser = nodes.get(node);
@@ -72,28 +72,30 @@
     }
 
     @Test
-    void manualsThatFewAskForAreReadByOneEngine() {
-        // Callers of all nodes ask for a hundred manuals, each seldom. A quarter of the engines as homes of each manual
-        // would let every second request find its manual elsewhere: its caller waits while it is read again.
+    void aRarelyRequestedManualIsReadByOneEngine() {
+        // A hundred manuals are each requested rarely, through all nodes. With a quarter of the engines as homes of
+        // each
+        // manual, every second request would miss the cache and wait until another engine has read the manual again.
         for (int warm = 0; warm < 60; warm++) {
             send(warm % 6, prompt("other-" + warm));
         }
         int engines = 0;
         for (int manual = 0; manual < MANUALS; manual++) {
-            Set<VmId> read = new HashSet<>();
+            Set<VmId> enginesRead = new HashSet<>();
             for (int node = 0; node < 6; node++) {
-                read.add(send(node, prompt("manual-" + manual)));
+                enginesRead.add(send(node, prompt("manual-" + manual)));
             }
-            engines += read.size();
+            engines += enginesRead.size();
         }
         assertThat(engines).isEqualTo(MANUALS);
     }
 
     @Test
-    void aManualThatManyAskForGetsMoreEngines() {
-        // Half of all callers ask for one manual. With one engine as its home the others would idle while it has a
-        // queue.
-        Set<VmId> read = new HashSet<>();
+    void aPopularManualGetsMoreEngines() {
+        // Half of all requests are for one manual. With a single engine as its home, requests would queue there while
+        // the
+        // other engines are idle.
+        Set<VmId> enginesRead = new HashSet<>();
         for (int request = 0; request < 60; request++) {
             send(0, prompt("other-" + request));
             nodes.get(0).onSent(new VmId("i-0"), prompt("hot"), now);
@@ -104,15 +106,17 @@
                     .orElseThrow()
                     .id();
             nodes.get(0).onSent(engine, prompt("hot"), now);
-            read.add(engine);
+            enginesRead.add(engine);
         }
-        assertThat(read).hasSizeGreaterThanOrEqualTo(6);
+        assertThat(enginesRead).hasSizeGreaterThanOrEqualTo(6);
     }
 
     @Test
-    void whatOverflowsToAnEngineIsRememberedThere() {
-        // The home of a manual has a long queue, and the next callers of the same manual come one after another. The
-        // first goes to another engine, which reads the manual; each further one would have it read by yet another.
+    void laterRequestsSpillOverToTheSameEngine() {
+        // The home of a manual has a long queue when further requests for the manual arrive one after another. The
+        // first
+        // spills over to another engine, which reads the manual; without the history, each further one would make yet
+        // another engine read it.
         for (int warm = 0; warm < 150; warm++) {
             send(0, prompt("other-" + warm));
         }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/routing/UpstreamChooserTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/routing/UpstreamChooserTest.java
@@ -51,8 +51,8 @@
     }
 
     private static UpstreamChooser.Prompt prompt(String session) {
-        List<PrefixSegment> parts = List.of(new PrefixSegment("house", 2500), new PrefixSegment(session, 3800));
-        return new UpstreamChooser.Prompt(parts, 9000, Optional.empty(), 0);
+        List<PrefixSegment> segments = List.of(new PrefixSegment("house", 2500), new PrefixSegment(session, 3800));
+        return new UpstreamChooser.Prompt(segments, 9000, Optional.empty(), 0);
     }
 
     private VmId choose(UpstreamChooser.Prompt prompt) {
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void aSessionComesBackToTheEngineThatHasItsPart() {
+    void aSessionReturnsToTheEngineThatHasItsSegmentCached() {
         VmId first = choose(prompt("session-1"));
         assertThat(choose(prompt("session-1"))).isEqualTo(first);
         Set<VmId> used = new HashSet<>();
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void aSessionGoesElsewhereWhenItsEngineHasMoreToReadThanThePartIsWorth() {
+    void aSessionMovesWhenTheQueueOfItsEngineOutweighsTheCachedSegment() {
         VmId first = choose(prompt("session-1"));
         chooser.onSent(first, prompt("session-1"), NOW);
         assertThat(choose(prompt("session-1"))).isNotEqualTo(first);
@@ -80,14 +80,14 @@
     }
 
     @Test
-    void largeInputsDrawAPromptWithoutPartsToTheirDomain() {
+    void aPromptWithoutSegmentsGoesToTheDomainOfItsLargeInputs() {
         UpstreamChooser.Prompt prompt = new UpstreamChooser.Prompt(List.of(), 500, Optional.of(SOUTH), 9_000_000);
         VmId chosen = choose(prompt);
         assertThat(directory.find(chosen).orElseThrow().domain()).isEqualTo(SOUTH);
     }
 
     @Test
-    void plainCallsGoToTheServerThatIsDoneFirst() {
+    void plainRequestsGoToTheServerWithTheEarliestExpectedCompletion() {
         for (int number = 2; number <= 8; number++) {
             health.onStarted(new VmId("i-" + number), NOW);
         }
@@ -98,12 +98,13 @@
     }
 
     @Test
-    void serversThatFailedAreUsedWhenThereIsNoOther() {
-        // Every server of a pool has failed twice, for a reason that is over. A pool that nobody dares to ask would
-        // stay dark though all its servers are up.
+    void suspendedServersAreUsedWhenThereIsNoOther() {
+        // Every server of a pool has failed twice for a transient reason. Excluding suspended servers would make the
+        // pool
+        // unavailable although all of its servers are up.
         for (int number = 1; number <= 8; number++) {
             VmId id = new VmId("i-" + number);
-            for (int fault = 0; fault < 2; fault++) {
+            for (int failure = 0; failure < 2; failure++) {
                 health.onStarted(id, NOW);
                 health.onEnded(id, Optional.empty(), Duration.ofMillis(1), false, NOW);
             }
