--- a/wagtaillug-core/src/main/java/org/wagtaillug/admission/Admission.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/admission/Admission.java
@@ -7,92 +7,92 @@
 import org.wagtaillug.result.ResultCode;
 
 /**
- * Counts the requests in flight by customer and says whether one more has room.
+ * Limits the requests in flight, by customer.
  *
- * <p>While there is room to spare, everybody is let in. When the node fills up, a customer that already uses more than
- * its share of the room is refused, so that the burst of one large customer does not cost the small ones.
+ * <p>While less than {@link #PRESSURE} of the capacity is in use, every request is admitted. Above it, a customer that
+ * exceeds its share of the capacity is refused, so that a burst of one large customer does not starve the small ones.
  */
 public final class Admission {
-    /** The share of the room above which customers are held to their shares. */
+    /** The fraction of the capacity in use above which customers are limited to their shares. */
     public static final double PRESSURE = 0.5;
 
-    private final int room;
-    private final Map<CustomerId, Use> uses = new HashMap<>();
+    private final int capacity;
+    private final Map<CustomerId, Usage> usages = new HashMap<>();
     private int total;
 
     /**
-     * Starts empty.
+     * Creates a limiter without requests in flight.
      *
-     * @param room the most requests in flight at once, at least 1
+     * @param capacity the maximum number of requests in flight, at least 1
      */
-    public Admission(int room) {
-        if (room < 1) {
-            throw new IllegalArgumentException("room is " + room + "; expected at least 1");
+    public Admission(int capacity) {
+        if (capacity < 1) {
+            throw new IllegalArgumentException("capacity is " + capacity + "; expected at least 1");
         }
-        this.room = room;
+        this.capacity = capacity;
     }
 
     /** Requests in flight and the share of one customer. */
-    private static final class Use {
+    private static final class Usage {
         private int inFlight;
         private double share;
     }
 
     /**
-     * Says why one more request of a customer has no room now; empty if it has.
+     * The reason for refusing one more request of a customer; empty if it is admitted.
      *
-     * @param customer whose
+     * @param customer the customer that sends the request
      * @param share the customer's share, above 0
      */
     public Option<ResultCode> obstacle(CustomerId customer, double share) {
-        if (total < room * PRESSURE) {
+        if (total < capacity * PRESSURE) {
             return Option.none();
         }
-        if (inFlight(customer) + 1 > fairRoom(customer, share)) {
+        if (inFlight(customer) + 1 > guaranteedCapacity(customer, share)) {
             return Option.some(ResultCode.CUSTOMER_OVER_SHARE);
         }
-        if (total >= room) {
+        if (total >= capacity) {
             return Option.some(ResultCode.OVERLOADED);
         }
         return Option.none();
     }
 
-    /** The room that a customer may take while others wait: its share among the customers that are active. */
-    private double fairRoom(CustomerId customer, double share) {
+    /** The customer's part of the capacity under pressure: its share among the active customers, but at least 1. */
+    private double guaranteedCapacity(CustomerId customer, double share) {
         double shares = share;
-        for (Map.Entry<CustomerId, Use> entry : uses.entrySet()) {
+        for (Map.Entry<CustomerId, Usage> entry : usages.entrySet()) {
             if (!entry.getKey().equals(customer)) {
                 shares += entry.getValue().share;
             }
         }
-        return Math.max(1, room * share / shares);
+        return Math.max(1, capacity * share / shares);
     }
 
-    /** Notes that a request of a customer was let in. */
+    /** Records that a request of a customer was admitted. */
     public void entered(CustomerId customer, double share) {
-        Use use = uses.computeIfAbsent(customer, ignored -> new Use());
-        use.inFlight++;
-        use.share = share;
+        Usage usage = usages.computeIfAbsent(customer, ignored -> new Usage());
+        usage.inFlight++;
+        usage.share = share;
         total++;
     }
 
-    /** Notes that a request of a customer is answered. */
+    /** Records that a request of a customer has been answered. */
     public void left(CustomerId customer) {
-        Use use = uses.get(customer);
-        if (use == null) {
+        Usage usage = usages.get(customer);
+        if (usage == null) {
             throw new IllegalStateException("customer " + customer + " has no request in flight");
         }
-        use.inFlight--;
+        usage.inFlight--;
         total--;
-        if (use.inFlight == 0) {
-            uses.remove(customer);
+        if (usage.inFlight == 0) {
+            usages.remove(customer);
         }
     }
 
     /** The requests in flight of one customer. */
     public int inFlight(CustomerId customer) {
-        Use use = uses.get(customer);
-        return use == null ? 0 : use.inFlight;
+        Usage usage = usages.get(customer);
+        return usage == null ? 0 : usage.inFlight;
     }
 
     /** All requests in flight. */
--- a/wagtaillug-core/src/main/java/org/wagtaillug/admission/WarmupRateLimiter.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/admission/WarmupRateLimiter.java
@@ -7,25 +7,25 @@
 import org.wagtaillug.id.VmId;
 
 /**
- * Lets this node send a cold upstream at most one request in any second.
+ * Limits this node to one request per second to each cold upstream.
  *
- * <p>Guards against a cold upstream that gets more than it bears, crashes, comes back cold and crashes again. How many nodes
- * may send to it at all is decided by the roster, so the bound holds without a message between nodes.
+ * <p>Prevents a crash loop, in which a cold upstream is overloaded, crashes, restarts cold and is overloaded again. The
+ * roster limits how many nodes send to it, so the limit holds across nodes without coordination.
  */
 public final class WarmupRateLimiter {
-    /** A little above a second: requests that leave a second apart may arrive closer together. */
+    /** Slightly more than a second, because requests sent a second apart may arrive closer together. */
     private static final Duration SPACING = Duration.ofMillis(1050);
 
-    private final Map<VmId, Instant> last = new HashMap<>();
+    private final Map<VmId, Instant> lastSent = new HashMap<>();
 
-    /** Whether a request may go to a cold upstream now. */
+    /** Whether a request may be sent to a cold upstream now. */
     public boolean allows(VmId upstream, Instant now) {
-        Instant before = last.get(upstream);
-        return before == null || !now.isBefore(before.plus(SPACING));
+        Instant previous = lastSent.get(upstream);
+        return previous == null || !now.isBefore(previous.plus(SPACING));
     }
 
-    /** Notes that a request goes to an upstream, cold or not: one that turns cold just after it has had its request. */
+    /** Records a request to any upstream, cold or not, so that it counts if the upstream turns cold just afterwards. */
     public void onSent(VmId upstream, Instant now) {
-        last.put(upstream, now);
+        lastSent.put(upstream, now);
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/admission/package-info.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/admission/package-info.java
@@ -1,2 +1,2 @@
-/** Whether a node takes a request at all: by room, by the customer's share, by worth. */
+/** Admission control: limits on requests in flight, by the node's capacity and the customers' shares, and warm-up limits. */
 package org.wagtaillug.admission;
--- a/wagtaillug-core/src/test/java/org/wagtaillug/admission/AdmissionTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/admission/AdmissionTest.java
@@ -11,9 +11,9 @@
     private static final CustomerId SMALL = new CustomerId("small");
 
     @Test
-    void theBurstOfALargeCustomerLeavesRoomForASmallOne() {
-        // A large customer sends five times its usual; a small one asks at the same time. Without shares the small one
-        // finds the node full and is refused for what the large one did.
+    void aBurstOfALargeCustomerLeavesCapacityForASmallOne() {
+        // A large customer sends five times its usual load while a small one sends requests too. Without shares, the
+        // burst would fill the node and the requests of the small customer would be refused.
         Admission admission = new Admission(100);
         admission.entered(SMALL, 1);
         int admitted = 0;
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void aCustomerThatIsAloneMayFillTheNode() {
+    void aSingleActiveCustomerMayUseTheWholeCapacity() {
         Admission admission = new Admission(10);
         while (admission.obstacle(LARGE, 1).isEmpty()) {
             admission.entered(LARGE, 1);
