--- a/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchCall.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchCall.java
@@ -7,28 +7,28 @@
 import org.wagtaillug.id.RequestId;
 
 /**
- * One call to a server of a stage pool.
+ * One batched call to a server of a stage pool.
  *
- * @param number given once in a run of the node
+ * @param number unique during the lifetime of the node's process
  * @param upstream the server
- * @param items what it is to make, in order
- * @param timeout when to give it up
+ * @param items the pieces to compute, in order
+ * @param timeout how long to wait for the answer
  */
 public record BatchCall(long number, Listing upstream, List<Item> items, Duration timeout) {
-    /** Copies the list. */
+    /** Makes a defensive copy of the list. */
     public BatchCall {
         items = List.copyOf(items);
     }
 
     /**
-     * One piece.
+     * One piece of a step.
      *
-     * @param request whose
+     * @param request the request that needs it
      * @param step the number of the step
-     * @param piece from 0
-     * @param timeLeft it is of no use later
-     * @param key what a step without inputs works on
-     * @param inputs the handles that it takes
+     * @param piece its number, from 0
+     * @param timeLeft the time left until the request's deadline
+     * @param key the key that a step without inputs works on
+     * @param inputs the handles of its input results
      */
     public record Item(
             RequestId request, int step, int piece, Duration timeLeft, Optional<String> key, List<String> inputs) {}
--- a/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchCallEnd.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchCallEnd.java
@@ -2,44 +2,44 @@
 
 import java.util.List;
 
-/** How a call to a stage server ended. */
+/** The outcome of a call to a stage server. */
 public sealed interface BatchCallEnd {
     /**
-     * It answered.
+     * The server answered.
      *
      * @param answers one for each item, in order
      */
     record Answered(List<PieceAnswer> answers) implements BatchCallEnd {}
 
-    /** It said that it did not take the call. */
+    /** The server refused the call without running it. */
     record NotRun() implements BatchCallEnd {}
 
     /**
-     * No answer, or none that can be read.
+     * The call failed without a readable answer.
      *
-     * @param reason for the log
+     * @param reason the cause, for the log
      */
     record Broken(String reason) implements BatchCallEnd {}
 
-    /** What became of one piece. */
+    /** The outcome of one piece. */
     sealed interface PieceAnswer {
         /**
-         * It is made.
+         * The piece was computed.
          *
-         * @param handle what the server calls the result
+         * @param handle the server's name for the result
          */
         record Made(String handle) implements PieceAnswer {}
 
-        /** Its time had run out when its turn came. */
+        /** The deadline had passed before the server started it. */
         record Late() implements PieceAnswer {}
 
-        /** A result that it needs is gone. */
+        /** An input result no longer exists. */
         record InputsGone() implements PieceAnswer {}
 
-        /** The server has no room for its result. */
+        /** The server has no capacity to store its result. */
         record NoRoom() implements PieceAnswer {}
 
-        /** The server failed at it. */
+        /** The server failed to compute it. */
         record Failed() implements PieceAnswer {}
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchOrder.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchOrder.java
@@ -8,18 +8,18 @@
 import org.wagtaillug.id.RequestId;
 
 /**
- * All pieces of one step of one request.
+ * An order for all pieces of one step of one request.
  *
- * @param id which order
- * @param request whose
+ * @param id identifies the order
+ * @param request the request that needs the pieces
  * @param step the number of the step in its route
- * @param pool whose servers make the pieces
- * @param pieces how many, numbered from 0
- * @param key what a step without inputs works on; empty for one with inputs
- * @param inputs the results that each piece takes
- * @param resultBytes about how large the result of one piece is
- * @param near the failure domain where most of its inputs lie; empty if it has none
- * @param urgency what goes first
+ * @param pool the pool whose servers compute the pieces
+ * @param pieces the number of pieces, which are numbered from 0
+ * @param key the key that a step without inputs works on; empty for one with inputs
+ * @param inputs the handles of the results that each piece takes as input
+ * @param resultBytes the approximate size of the result of one piece
+ * @param near the failure domain that holds most of its inputs; empty if it has none
+ * @param urgency its scheduling priority
  */
 public record BatchOrder(
         OrderId id,
@@ -32,17 +32,17 @@
         long resultBytes,
         Optional<DomainId> near,
         Urgency urgency) {
-    /** Copies the list. */
+    /** Makes a defensive copy of the list. */
     public BatchOrder {
         inputs = List.copyOf(inputs);
     }
 
     /**
-     * How pressing an order is.
+     * The scheduling priority of an order.
      *
-     * @param rank 0 goes first
-     * @param aim the pieces that are made by then are in time for the request's full worth
-     * @param deadline pieces that are made later are of no use
+     * @param rank the priority class; 0 is served first
+     * @param aim the latency target: pieces finished by then let the request earn its full worth
+     * @param deadline pieces finished later are useless
      */
     public record Urgency(int rank, Instant aim, Instant deadline) {}
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchOutcome.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchOutcome.java
@@ -3,39 +3,39 @@
 import java.time.Duration;
 import java.util.List;
 
-/** What became of an order. */
+/** The outcome of an order. */
 public sealed interface BatchOutcome {
     /**
-     * All pieces are made.
+     * All pieces were computed.
      *
-     * @param results by the number of the piece
+     * @param results the results, indexed by the number of the piece
      */
     record Made(List<StepResult> results) implements BatchOutcome {
-        /** Copies the list. */
+        /** Makes a defensive copy of the list. */
         public Made {
             results = List.copyOf(results);
         }
     }
 
     /**
-     * The pieces will not be made.
+     * The order was refused or failed.
      *
      * @param reason why
-     * @param retryAfter when there is likely to be room again; zero if that is not the matter
+     * @param retryAfter how long to wait before a retry; zero if the reason is not a lack of capacity
      */
     record NotMade(Reason reason, Duration retryAfter) implements BatchOutcome {}
 
-    /** Why pieces are not made. */
+    /** Why an order was refused or failed. */
     enum Reason {
-        /** What waits already takes longer than the request has. */
+        /** The queue delay exceeds the time that the request has left. */
         OVERLOADED,
-        /** The time ran out. */
+        /** The deadline cannot be met any more, or the order was withdrawn. */
         LATE,
-        /** A result that they need is gone. */
+        /** An input result no longer exists. */
         INPUTS_GONE,
-        /** Servers failed, more than once. */
+        /** Calls failed more often than the retry limit allows. */
         FAILED,
-        /** The pool has no server that may get work. */
+        /** The pool has no usable server. */
         NO_UPSTREAM
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchOutput.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchOutput.java
@@ -5,17 +5,17 @@
 import org.wagtaillug.directory.Listing;
 import org.wagtaillug.node.Decision;
 
-/** Takes what a {@link BatchScheduler} wants done. */
+/** Receives the actions of a {@link BatchScheduler}. */
 public interface BatchOutput {
-    /** Makes a call; its end comes back through {@link BatchScheduler#onCallEnded}. */
+    /** Starts a call; its outcome is reported to {@link BatchScheduler#onCallEnded}. */
     void call(BatchCall call);
 
-    /** Tells the node that wants the pieces what became of them. */
+    /** Reports the outcome of an order to the node that placed it. */
     void outcome(BatchOrder order, BatchOutcome outcome, Instant now);
 
-    /** Tells a server that results are no longer needed; the end comes back by {@link BatchScheduler#onReleaseEnded}. */
-    void release(long number, Listing maker, List<String> handles);
+    /** Releases results at a server; completion is reported to {@link BatchScheduler#onReleaseEnded}. */
+    void release(long number, Listing server, List<String> handles);
 
-    /** Writes a decision to the log. */
+    /** Writes a decision to the decision log. */
     void decided(Decision decision);
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchQueue.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchQueue.java
@@ -13,21 +13,21 @@
 import org.wagtaillug.policy.PolicyFeatures;
 
 /**
- * The pieces that wait for a call to one pool, and which go first.
+ * The priority queue of the pieces that wait for a call to one pool.
  *
- * <p>When more arrives than the pool bears, an order by arrival lets every request wait until all are late, and a late
- * answer is worth a seventh of one in time. So pieces that can still be in time go first, by rank and then by aim; those
- * that cannot, but can meet their deadline, fill what is left of calls.
+ * <p>Under overload, first-come first-served makes every request wait until all miss their latency target, and a late answer
+ * is worth a seventh of one in time. Pieces that can still meet their target therefore go first, by rank and then by target.
+ * Pieces that cannot, but can meet their deadline, use the remaining capacity of calls.
  */
 final class BatchQueue {
     /** How long a piece may wait past its latency target before its caller is better off retrying. */
     static final Duration LATE_GRACE = Duration.ofMillis(800);
 
     private final boolean byUrgency;
-    private final List<Waiting> waiting = new ArrayList<>();
+    private final List<QueuedPiece> pieces = new ArrayList<>();
 
-    /** One piece that waits. */
-    record Waiting(OrderState state, int piece, Instant since) {
+    /** A queued piece and the time since when it has been waiting. */
+    record QueuedPiece(OrderState state, int piece, Instant since) {
         BatchOrder order() {
             return state.order();
         }
@@ -37,123 +37,131 @@
         byUrgency = features.uses(PolicyFeature.URGENCY_ORDER);
     }
 
-    void add(Waiting piece) {
-        waiting.add(piece);
+    void add(QueuedPiece piece) {
+        pieces.add(piece);
     }
 
     int size() {
-        return waiting.size();
+        return pieces.size();
     }
 
     boolean isEmpty() {
-        return waiting.isEmpty();
+        return pieces.isEmpty();
     }
 
-    /** Whether every piece of an order waits here: none is made or being made. */
-    boolean holdsAllOf(OrderState state) {
-        int held = 0;
-        for (Waiting piece : waiting) {
-            held += piece.state() == state ? 1 : 0;
+    /** Whether all pieces of an order are queued, so that none is finished or in progress. */
+    boolean containsAllPiecesOf(OrderState state) {
+        int queued = 0;
+        for (QueuedPiece piece : pieces) {
+            queued += piece.state() == state ? 1 : 0;
         }
-        return held == state.order().pieces();
+        return queued == state.order().pieces();
     }
 
-    /** Drops pieces of orders that have ended. */
+    /** Removes the pieces of orders that have ended. */
     void dropEnded() {
-        waiting.removeIf(piece -> piece.state().ended());
+        pieces.removeIf(piece -> piece.state().ended());
     }
 
-    /** The orders of which no piece could be of use any more even if it were called now. */
-    Set<OrderState> hopeless(Instant now) {
-        Set<OrderState> found = new LinkedHashSet<>();
-        for (Waiting piece : waiting) {
-            if (earliest(piece, now).isAfter(piece.order().urgency().deadline())) {
-                found.add(piece.state());
+    /** The orders with a piece that would miss its deadline even if it were sent now. */
+    Set<OrderState> missingDeadline(Instant now) {
+        Set<OrderState> orders = new LinkedHashSet<>();
+        for (QueuedPiece piece : pieces) {
+            if (earliestCompletion(piece, now).isAfter(piece.order().urgency().deadline())) {
+                orders.add(piece.state());
             }
         }
-        return found;
+        return orders;
     }
 
-    /** The orders that have missed their aim for so long that only a pool with time to spare would still take them. */
+    /**
+     * The orders with a piece that has waited longer than {@link #LATE_GRACE} past its latency target. Only a pool with spare
+     * capacity would still serve them.
+     */
     Set<OrderState> overdue(Instant now) {
-        Set<OrderState> found = new LinkedHashSet<>();
-        for (Waiting piece : waiting) {
-            Instant waitsFrom = piece.since();
+        Set<OrderState> orders = new LinkedHashSet<>();
+        for (QueuedPiece piece : pieces) {
+            Instant queuedSince = piece.since();
             Instant aim = piece.order().urgency().aim();
-            // A caller that came back after its aim gets as much patience as one that was in time when it came.
-            Instant from = aim.isAfter(waitsFrom) ? aim : waitsFrom;
-            if (now.isAfter(from.plus(LATE_GRACE))) {
-                found.add(piece.state());
+            // For a retry that arrives after its latency target, the grace period starts at the arrival.
+            Instant graceStart = aim.isAfter(queuedSince) ? aim : queuedSince;
+            if (now.isAfter(graceStart.plus(LATE_GRACE))) {
+                orders.add(piece.state());
             }
         }
-        return found;
+        return orders;
     }
 
-    /** How many pieces go before one of a rank that arrives now. */
-    int ahead(int rank, Instant now) {
-        int ahead = 0;
-        for (Waiting piece : waiting) {
-            if (inTime(piece, now) && piece.order().urgency().rank() <= rank) {
-                ahead++;
+    /** The number of pieces that are served before one of a rank that arrives now. */
+    int countAhead(int rank, Instant now) {
+        int countAhead = 0;
+        for (QueuedPiece piece : pieces) {
+            if (meetsTarget(piece, now) && piece.order().urgency().rank() <= rank) {
+                countAhead++;
             }
         }
-        return ahead;
+        return countAhead;
     }
 
     /**
-     * Takes the pieces for one call: the most pressing ones, at most so many, that fit into so much room.
+     * Removes and returns the most urgent pieces for one call.
      *
-     * @param maker the failure domain of the server
-     * @param domains the failure domains that have a server
+     * @param maxPieces the maximum number of pieces
+     * @param availableBytes the limit on the total size of their results
+     * @param serverDomain the failure domain of the server
+     * @param domains the failure domains that have a usable server
      */
-    List<Waiting> take(int most, long roomBytes, DomainId maker, Set<DomainId> domains, Instant now) {
-        waiting.sort(byUrgency ? mostPressingFirst(now, maker) : Comparator.comparing(Waiting::since));
-        List<Waiting> taken = new ArrayList<>();
-        long room = roomBytes;
-        for (Iterator<Waiting> each = waiting.iterator(); each.hasNext() && taken.size() < most; ) {
-            Waiting piece = each.next();
-            boolean left = foreign(piece, maker) && canWaitForNearer(piece, domains, now);
-            if (left || piece.order().resultBytes() > room) {
+    List<QueuedPiece> takeForCall(
+            int maxPieces, long availableBytes, DomainId serverDomain, Set<DomainId> domains, Instant now) {
+        pieces.sort(byUrgency ? mostUrgentFirst(now, serverDomain) : Comparator.comparing(QueuedPiece::since));
+        List<QueuedPiece> taken = new ArrayList<>();
+        long remainingBytes = availableBytes;
+        for (Iterator<QueuedPiece> iterator = pieces.iterator(); iterator.hasNext() && taken.size() < maxPieces; ) {
+            QueuedPiece piece = iterator.next();
+            boolean deferred = crossesDomains(piece, serverDomain) && canWaitForNearbyServer(piece, domains, now);
+            if (deferred || piece.order().resultBytes() > remainingBytes) {
                 continue;
             }
-            room -= piece.order().resultBytes();
+            remainingBytes -= piece.order().resultBytes();
             taken.add(piece);
-            each.remove();
+            iterator.remove();
         }
         return taken;
     }
 
-    private static boolean foreign(Waiting piece, DomainId maker) {
-        return piece.order().near().isPresent() && !piece.order().near().get().equals(maker);
+    private static boolean crossesDomains(QueuedPiece piece, DomainId serverDomain) {
+        return piece.order().near().isPresent() && !piece.order().near().get().equals(serverDomain);
     }
 
     /**
-     * Each piece fetches all results of the step before, so inputs that cross failure domains are the most of what crosses:
-     * a piece is left for a server near them, for one call's time at most and only if it can still be in time after it.
+     * Whether a piece should wait for a server near its inputs. Each piece fetches all results of the preceding step, so inputs
+     * account for most of the traffic between failure domains. A piece waits for one call duration at most, and only if it can
+     * still meet its latency target afterwards.
      */
-    private static boolean canWaitForNearer(Waiting piece, Set<DomainId> domains, Instant now) {
-        Duration call = piece.state().contract().callOf(piece.state().contract().batch());
-        boolean served = domains.contains(piece.order().near().orElseThrow());
-        boolean young = now.isBefore(piece.since().plus(call));
-        boolean slack =
-                now.plus(call.multipliedBy(2)).isBefore(piece.order().urgency().aim());
-        return served && young && slack;
-    }
-
-    private static Comparator<Waiting> mostPressingFirst(Instant now, DomainId maker) {
-        return Comparator.comparing((Waiting piece) -> !inTime(piece, now))
+    private static boolean canWaitForNearbyServer(QueuedPiece piece, Set<DomainId> domains, Instant now) {
+        Duration callDuration =
+                piece.state().contract().callOf(piece.state().contract().batch());
+        boolean nearbyServerExists = domains.contains(piece.order().near().orElseThrow());
+        boolean waitedLessThanOneCall = now.isBefore(piece.since().plus(callDuration));
+        boolean canMeetTargetLater = now.plus(callDuration.multipliedBy(2))
+                .isBefore(piece.order().urgency().aim());
+        return nearbyServerExists && waitedLessThanOneCall && canMeetTargetLater;
+    }
+
+    private static Comparator<QueuedPiece> mostUrgentFirst(Instant now, DomainId serverDomain) {
+        return Comparator.comparing((QueuedPiece piece) -> !meetsTarget(piece, now))
                 .thenComparingInt(piece -> piece.order().urgency().rank())
-                .thenComparing(piece -> foreign(piece, maker))
+                .thenComparing(piece -> crossesDomains(piece, serverDomain))
                 .thenComparing(piece -> piece.order().urgency().aim())
                 .thenComparing(piece -> piece.order().id().number())
-                .thenComparingInt(Waiting::piece);
+                .thenComparingInt(QueuedPiece::piece);
     }
 
-    private static boolean inTime(Waiting piece, Instant now) {
-        return !earliest(piece, now).isAfter(piece.order().urgency().aim());
+    private static boolean meetsTarget(QueuedPiece piece, Instant now) {
+        return !earliestCompletion(piece, now).isAfter(piece.order().urgency().aim());
     }
 
-    private static Instant earliest(Waiting piece, Instant now) {
+    private static Instant earliestCompletion(QueuedPiece piece, Instant now) {
         return now.plus(piece.state().contract().callOf(1));
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchScheduler.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchScheduler.java
@@ -31,22 +31,22 @@
  * goes into the next one.
  */
 public final class BatchScheduler {
-    /** How long a piece may wait past its aim before it is given up. */
+    /** How long a piece may wait past its latency target before its order is abandoned. */
     public static final Duration LATE_GRACE = BatchQueue.LATE_GRACE;
 
     /** Retention of outcomes for nodes that resend an order after a lost reply. */
     private static final Duration OUTCOME_RETENTION = Duration.ofSeconds(5);
 
-    /** Failed calls for each piece of an order before it is given up. */
+    /** Failed calls per piece of an order before the order fails. */
     private static final int MAX_CALL_FAILURES = 2;
 
     /** Timeout of a call as a multiple of its expected duration, for servers that have turned slow. */
     private static final int CALL_TIMEOUT_FACTOR = 6;
 
-    /** Releases of this time go to a server together. */
+    /** Releases are collected for this long and sent to a server together. */
     private static final Duration RELEASE_FLUSH_INTERVAL = Duration.ofMillis(20);
 
-    /** Retry delay for orders that are dropped past their grace. */
+    /** Retry delay for orders that are abandoned past their grace period. */
     private static final Duration OVERDUE_RETRY_AFTER = Duration.ofMillis(1000);
 
     /** Lower bound on the throughput share assumed for low priorities. */
@@ -54,10 +54,10 @@
 
     private static final double NANOS_PER_SECOND = 1e9;
 
-    /** Reported for a pool with no usable server, or nearly none. */
+    /** Upper bound on the estimated wait, for pools with no or almost no usable servers. */
     private static final double MAX_WAIT_SECONDS = 60;
 
-    /** Shorter waits change no decision of another node. */
+    /** Shorter waits are not published, because they change no decision of another node. */
     private static final Duration MIN_PUBLISHED_WAIT = Duration.ofMillis(100);
 
     /** Bounds the size of heartbeats. */
@@ -70,33 +70,34 @@
     private final PolicyFeatures features;
     private final CallGate gate;
     private final Map<PoolId, BatchQueue> queues = new HashMap<>();
-    private final Map<PoolId, PoolThroughput> paces = new HashMap<>();
+    private final Map<PoolId, PoolThroughput> throughputs = new HashMap<>();
     private final Map<PoolId, BatchContract> contracts = new HashMap<>();
-    private final Map<VmId, StageServer> makers = new HashMap<>();
+    private final Map<VmId, StageServer> servers = new HashMap<>();
     private final Map<OrderId, OrderState> orders = new HashMap<>();
-    private final Map<OrderId, PublishedOutcome> told = new LinkedHashMap<>();
-    private final Map<Long, Calling> calls = new HashMap<>();
+    private final Map<OrderId, PublishedOutcome> publishedOutcomes = new LinkedHashMap<>();
+    private final Map<Long, ActiveCall> calls = new HashMap<>();
     private final Map<Long, Release> releases = new HashMap<>();
-    private long lastCall;
-    private long lastRelease;
-    private Instant releaseDue = Instant.EPOCH;
+    private long lastCallNumber;
+    private long lastReleaseNumber;
+    private Instant nextReleaseAt = Instant.EPOCH;
 
-    private record Release(StageServer maker, List<String> handles) {}
+    private record Release(StageServer server, List<String> handles) {}
 
     private record PublishedOutcome(BatchOutcome outcome, Instant at) {}
 
-    private record Calling(BatchCall call, List<BatchQueue.Waiting> pieces, StageServer maker, Instant startedAt) {
+    private record ActiveCall(
+            BatchCall call, List<BatchQueue.QueuedPiece> pieces, StageServer server, Instant startedAt) {
         PoolId pool() {
             return call.upstream().pool();
         }
     }
 
-    /** Fills calls to all servers of a directory. */
+    /** Creates a scheduler for all servers of a directory. */
     public BatchScheduler(UpstreamDirectory directory, BatchOutput output, PolicyFeatures features) {
         this(directory, output, features, CallGate.OPEN);
     }
 
-    /** Fills calls to the servers of a directory that a gate allows. */
+    /** Creates a scheduler for the servers of a directory that a gate allows. */
     public BatchScheduler(UpstreamDirectory directory, BatchOutput output, PolicyFeatures features, CallGate gate) {
         this.directory = directory;
         this.output = output;
@@ -104,62 +105,62 @@
         this.gate = gate;
     }
 
-    /** Whether nothing waits and nothing is under way. */
+    /** Whether no order is open and no call is in progress. */
     public boolean idle() {
         return calls.isEmpty() && orders.isEmpty();
     }
 
-    /** A node wants pieces. It may ask again for the same ones when it has heard nothing. */
+    /** Accepts an order. A node resends an order that was not answered; duplicates are recognized by their id. */
     public void onOrder(BatchOrder order, BatchContract contract, Instant now) {
         if (orders.containsKey(order.id())) {
             return;
         }
-        PublishedOutcome before = told.get(order.id());
-        if (before != null) {
-            output.outcome(order, before.outcome(), now);
+        PublishedOutcome published = publishedOutcomes.get(order.id());
+        if (published != null) {
+            output.outcome(order, published.outcome(), now);
             return;
         }
         contracts.put(order.pool(), contract);
         OrderState state = new OrderState(order, contract);
-        pace(order.pool()).onOrder(order, now);
+        throughput(order.pool()).onOrder(order, now);
         Optional<BatchOutcome> refusal = refusal(order, contract, now);
         if (refusal.isPresent()) {
-            tell(state, refusal.get(), now);
+            publishOutcome(state, refusal.get(), now);
             return;
         }
         orders.put(order.id(), state);
         BatchQueue queue = queues.computeIfAbsent(order.pool(), pool -> new BatchQueue(features));
         for (int piece = 0; piece < order.pieces(); piece++) {
-            queue.add(new BatchQueue.Waiting(state, piece, now));
+            queue.add(new BatchQueue.QueuedPiece(state, piece, now));
         }
         dispatch(order.pool(), now);
     }
 
-    private PoolThroughput pace(PoolId pool) {
-        return paces.computeIfAbsent(pool, id -> new PoolThroughput());
+    private PoolThroughput throughput(PoolId pool) {
+        return throughputs.computeIfAbsent(pool, id -> new PoolThroughput());
     }
 
-    /** What is known not to be servable is refused at once. */
+    /** The outcome of an order that is refused on arrival because it cannot be served in time; empty if it is accepted. */
     private Optional<BatchOutcome> refusal(BatchOrder order, BatchContract contract, Instant now) {
-        List<StageServer> usable = usableMakers(order.pool());
+        List<StageServer> usable = usableServers(order.pool());
         if (usable.isEmpty()) {
             return Optional.of(new BatchOutcome.NotMade(BatchOutcome.Reason.NO_UPSTREAM, MIN_RETRY_AFTER));
         }
         Duration wait = features.uses(PolicyFeature.EARLY_REFUSAL)
                 ? expectedWait(order.pool(), order.urgency().rank(), usable, now)
                 : Duration.ZERO;
-        Instant made = now.plus(wait).plus(contract.callOf(Math.min(order.pieces(), contract.batch())));
+        Instant finishedAt = now.plus(wait).plus(contract.callOf(Math.min(order.pieces(), contract.batch())));
         Instant overdue = order.urgency().aim().plus(LATE_GRACE);
-        // A request that comes back after its aim must not be refused for having missed it while the pool is free.
-        boolean inUse = wait.isZero() || !made.isAfter(overdue);
-        if (inUse && !made.isAfter(order.urgency().deadline())) {
+        // A retry that arrives after its latency target must not be refused for that reason while the pool is idle.
+        boolean withinGrace = wait.isZero() || !finishedAt.isAfter(overdue);
+        if (withinGrace && !finishedAt.isAfter(order.urgency().deadline())) {
             return Optional.empty();
         }
         Duration retryAfter = wait.compareTo(MIN_RETRY_AFTER) < 0 ? MIN_RETRY_AFTER : wait;
         return Optional.of(new BatchOutcome.NotMade(BatchOutcome.Reason.OVERLOADED, retryAfter));
     }
 
-    /** How long what goes before a rank keeps the pool busy, what comes later with a lower rank included. */
+    /** Estimates how long pieces that are served before a rank keep the pool busy, including later ones of lower ranks. */
     private Duration expectedWait(PoolId pool, int rank, List<StageServer> usable, Instant now) {
         BatchQueue queue = queues.get(pool);
         if (queue == null || queue.isEmpty()) {
@@ -167,28 +168,28 @@
         }
         BatchContract contract = contracts.get(pool);
         boolean observed = features.uses(PolicyFeature.OBSERVED_WAIT);
-        double pieces = contract.batch() * (observed ? pace(pool).filled() : 1);
+        double pieces = contract.batch() * (observed ? throughput(pool).fillRatio() : 1);
         double seconds = contract.callOf((int) Math.ceil(pieces)).toNanos() / NANOS_PER_SECOND;
-        double perSecond = 0;
-        for (StageServer maker : usable) {
-            perSecond += contract.slots() * pieces / (seconds * Math.max(1, maker.slowness()));
+        double poolRate = 0;
+        for (StageServer server : usable) {
+            poolRate += contract.slots() * pieces / (seconds * Math.max(1, server.slowness()));
         }
-        double before = observed ? pace(pool).before(rank, now) : 0;
-        double left = Math.max(perSecond - before, perSecond * MIN_SHARE);
-        double wait = Math.min(queue.ahead(rank, now) / left, MAX_WAIT_SECONDS);
+        double higherPriorityRate = observed ? throughput(pool).rateBelow(rank, now) : 0;
+        double availableRate = Math.max(poolRate - higherPriorityRate, poolRate * MIN_SHARE);
+        double wait = Math.min(queue.countAhead(rank, now) / availableRate, MAX_WAIT_SECONDS);
         return Duration.ofNanos(Math.round(wait * NANOS_PER_SECOND));
     }
 
-    /** How long an order of a rank would wait for a pool whose calls are filled here. */
+    /** The expected queue delay of an order of a rank, for a pool that is scheduled by this node. */
     public Duration waitOf(PoolId pool, int rank, Instant now) {
-        return expectedWait(pool, rank, usableMakers(pool), now);
+        return expectedWait(pool, rank, usableServers(pool), now);
     }
 
-    /** The waits that other nodes should know of before they begin a request. */
+    /** The queue delays to publish to other nodes, which take them into account before they start a request. */
     public List<QueueDelayEstimate> waits(Instant now) {
         List<QueueDelayEstimate> waits = new ArrayList<>();
         for (PoolId pool : queues.keySet()) {
-            for (int rank : pace(pool).ranks(now)) {
+            for (int rank : throughput(pool).ranks(now)) {
                 Duration wait = waitOf(pool, rank, now);
                 if (wait.compareTo(MIN_PUBLISHED_WAIT) >= 0 && waits.size() < MAX_PUBLISHED_WAITS) {
                     waits.add(new QueueDelayEstimate(pool, rank, wait));
@@ -198,7 +199,7 @@
         return waits;
     }
 
-    /** The node does not want the pieces any more: the request has ended. */
+    /** Cancels an order whose request has ended. */
     public void onWithdrawn(OrderId id, Instant now) {
         OrderState state = orders.remove(id);
         if (state == null) {
@@ -206,18 +207,19 @@
         }
         state.end();
         queues.get(state.order().pool()).dropEnded();
-        releaseAll(state.results());
-        told.put(id, new PublishedOutcome(new BatchOutcome.NotMade(BatchOutcome.Reason.LATE, Duration.ZERO), now));
+        queueReleases(state.results());
+        publishedOutcomes.put(
+                id, new PublishedOutcome(new BatchOutcome.NotMade(BatchOutcome.Reason.LATE, Duration.ZERO), now));
     }
 
     /**
-     * Gives an order back of which no piece is made or being made, as if it had never come.
+     * Removes an order if none of its pieces is finished or in progress, as if it had never arrived.
      *
-     * @return whether it is given back; otherwise it stays
+     * @return whether the order was removed
      */
     public boolean giveBack(OrderId id) {
         OrderState state = orders.get(id);
-        if (state == null || !queues.get(state.order().pool()).holdsAllOf(state)) {
+        if (state == null || !queues.get(state.order().pool()).containsAllPiecesOf(state)) {
             return false;
         }
         orders.remove(id);
@@ -226,36 +228,36 @@
         return true;
     }
 
-    /** Results are no longer needed. */
+    /** Releases results that are no longer needed. */
     public void onReleased(List<StepResult> results) {
-        releaseAll(results);
+        queueReleases(results);
     }
 
-    private void releaseAll(List<StepResult> results) {
+    private void queueReleases(List<StepResult> results) {
         for (StepResult result : results) {
-            maker(result.maker()).ifPresent(maker -> maker.released().add(result.handle()));
+            server(result.maker()).ifPresent(server -> server.pendingReleases().add(result.handle()));
         }
     }
 
-    private Optional<StageServer> maker(VmId id) {
+    private Optional<StageServer> server(VmId id) {
         Optional<Upstream> upstream = directory.find(id);
         if (upstream.isEmpty()) {
-            makers.remove(id);
+            servers.remove(id);
             return Optional.empty();
         }
-        StageServer known = makers.get(id);
+        StageServer known = servers.get(id);
         StageServer current = known == null
                 ? new StageServer(upstream.get().listing())
-                : known.refreshed(upstream.get().listing());
-        makers.put(id, current);
+                : known.withListing(upstream.get().listing());
+        servers.put(id, current);
         return Optional.of(current);
     }
 
-    private List<StageServer> usableMakers(PoolId pool) {
+    private List<StageServer> usableServers(PoolId pool) {
         List<StageServer> usable = new ArrayList<>();
         for (Upstream upstream : directory.usable(pool)) {
             if (gate.allows(upstream.listing())) {
-                maker(upstream.id()).ifPresent(usable::add);
+                server(upstream.id()).ifPresent(usable::add);
             }
         }
         return usable;
@@ -267,16 +269,16 @@
         if (queue == null || queue.isEmpty()) {
             return;
         }
-        List<StageServer> usable = usableMakers(pool);
-        usable.sort(Comparator.comparing((StageServer maker) -> !gate.preferred(maker.listing()))
+        List<StageServer> usable = usableServers(pool);
+        usable.sort(Comparator.comparing((StageServer server) -> !gate.preferred(server.listing()))
                 .thenComparingDouble(StageServer::slowness));
         Set<DomainId> domains = new HashSet<>();
-        usable.forEach(maker -> domains.add(maker.listing().domain()));
-        for (StageServer maker : usable) {
-            while (gate.allows(maker.listing())
-                    && maker.free(contract.slots(), now)
-                    && worthUsing(maker, usable, queue, contract)) {
-                if (!call(maker, domains, queue, contract, now)) {
+        usable.forEach(server -> domains.add(server.listing().domain()));
+        for (StageServer server : usable) {
+            while (gate.allows(server.listing())
+                    && server.hasFreeSlot(contract.slots(), now)
+                    && shouldUse(server, usable, queue, contract)) {
+                if (!startCall(server, domains, queue, contract, now)) {
                     break;
                 }
             }
@@ -284,177 +286,181 @@
     }
 
     /**
-     * A server that has turned several times slower would hold the pieces of a call past their aim while the others could
-     * take them next: it gets work only while more waits than the fastest one does in the time that it would take.
+     * Whether a slow server should get a call. A server that has become several times slower than the others would delay the
+     * pieces of a call past their latency target although another server could take them next. It gets work only while more
+     * pieces are queued than the fastest server completes during one of its calls.
      */
-    private static boolean worthUsing(
-            StageServer maker, List<StageServer> usable, BatchQueue queue, BatchContract contract) {
+    private static boolean shouldUse(
+            StageServer server, List<StageServer> usable, BatchQueue queue, BatchContract contract) {
         double fastest = Double.MAX_VALUE;
         for (StageServer each : usable) {
             fastest = Math.min(fastest, Math.max(1, each.slowness()));
         }
-        double callsMeanwhile = Math.max(1, maker.slowness()) / fastest - 1;
-        return queue.size() > (callsMeanwhile - 1) * contract.batch();
+        double fastCallsMeanwhile = Math.max(1, server.slowness()) / fastest - 1;
+        return queue.size() > (fastCallsMeanwhile - 1) * contract.batch();
     }
 
-    private boolean call(
-            StageServer maker, Set<DomainId> domains, BatchQueue queue, BatchContract contract, Instant now) {
-        long room = maker.room(contract, now);
-        List<BatchQueue.Waiting> pieces =
-                queue.take(contract.batch(), room, maker.listing().domain(), domains, now);
+    private boolean startCall(
+            StageServer server, Set<DomainId> domains, BatchQueue queue, BatchContract contract, Instant now) {
+        long freeCapacity = server.freeCapacity(contract, now);
+        List<BatchQueue.QueuedPiece> pieces = queue.takeForCall(
+                contract.batch(), freeCapacity, server.listing().domain(), domains, now);
         if (pieces.isEmpty()) {
             return false;
         }
         long bytes = 0;
         List<BatchCall.Item> items = new ArrayList<>();
-        for (BatchQueue.Waiting piece : pieces) {
+        for (BatchQueue.QueuedPiece piece : pieces) {
             BatchOrder order = piece.order();
             bytes += order.resultBytes();
-            Duration left = Duration.between(now, order.urgency().deadline());
+            Duration timeLeft = Duration.between(now, order.urgency().deadline());
             items.add(new BatchCall.Item(
-                    order.request(), order.step(), piece.piece(), left, order.key(), order.inputs()));
+                    order.request(), order.step(), piece.piece(), timeLeft, order.key(), order.inputs()));
         }
-        maker.results().reserve(bytes);
-        maker.began();
-        gate.onCall(maker.listing());
-        pace(maker.listing().pool()).onCall(pieces.size(), contract.batch(), !queue.isEmpty());
-        lastCall++;
+        server.results().reserve(bytes);
+        server.onCallStarted();
+        gate.onCall(server.listing());
+        throughput(server.listing().pool()).onCall(pieces.size(), contract.batch(), !queue.isEmpty());
+        lastCallNumber++;
         Duration timeout = contract.callOf(pieces.size()).multipliedBy(CALL_TIMEOUT_FACTOR);
-        BatchCall call = new BatchCall(lastCall, maker.listing(), items, timeout);
-        calls.put(lastCall, new Calling(call, pieces, maker, now));
+        BatchCall call = new BatchCall(lastCallNumber, server.listing(), items, timeout);
+        calls.put(lastCallNumber, new ActiveCall(call, pieces, server, now));
         output.call(call);
         output.decided(Decision.builder("piece_call")
-                .field("call", lastCall)
-                .field("upstream", maker.listing().id())
-                .field("pool", maker.listing().pool())
+                .field("call", lastCallNumber)
+                .field("upstream", server.listing().id())
+                .field("pool", server.listing().pool())
                 .field("pieces", pieces.size())
                 .field("most", contract.batch())
                 .field("longest_wait_ms", longestWait(pieces, now).toMillis())
                 .field("first_request", pieces.getFirst().order().request())
                 .field("still_waiting", queue.size())
-                .field("room_bytes", room)
+                .field("room_bytes", freeCapacity)
                 .field("room_of", contract.roomBytes())
                 .build());
         return true;
     }
 
-    private static Duration longestWait(List<BatchQueue.Waiting> pieces, Instant now) {
+    private static Duration longestWait(List<BatchQueue.QueuedPiece> pieces, Instant now) {
         Instant earliest = now;
-        for (BatchQueue.Waiting piece : pieces) {
+        for (BatchQueue.QueuedPiece piece : pieces) {
             earliest = piece.since().isBefore(earliest) ? piece.since() : earliest;
         }
         return Duration.between(earliest, now);
     }
 
-    /** A call has ended. */
+    /** Processes the outcome of a call. */
     public void onCallEnded(long number, BatchCallEnd end, Instant now) {
-        Calling calling = calls.remove(number);
-        if (calling == null) {
+        ActiveCall activeCall = calls.remove(number);
+        if (activeCall == null) {
             return;
         }
-        for (BatchQueue.Waiting piece : calling.pieces()) {
-            calling.maker().results().unreserve(piece.order().resultBytes());
+        for (BatchQueue.QueuedPiece piece : activeCall.pieces()) {
+            activeCall.server().results().unreserve(piece.order().resultBytes());
         }
         switch (end) {
-            case BatchCallEnd.Answered answered -> onAnswered(calling, answered.answers(), now);
+            case BatchCallEnd.Answered answered -> onAnswered(activeCall, answered.answers(), now);
             case BatchCallEnd.NotRun ignored -> {
-                calling.maker().full(now);
-                calling.pieces().forEach(this::wait);
+                activeCall.server().onCallRefused(now);
+                activeCall.pieces().forEach(this::requeue);
             }
-            case BatchCallEnd.Broken broken -> onBroken(calling, broken.reason(), now);
+            case BatchCallEnd.Broken broken -> onBroken(activeCall, broken.reason(), now);
         }
-        dispatch(calling.pool(), now);
+        dispatch(activeCall.pool(), now);
     }
 
-    private void wait(BatchQueue.Waiting piece) {
+    private void requeue(BatchQueue.QueuedPiece piece) {
         if (!piece.state().ended()) {
             queues.get(piece.order().pool()).add(piece);
         }
     }
 
-    private void onBroken(Calling calling, String reason, Instant now) {
-        calling.maker().broke(now);
+    private void onBroken(ActiveCall activeCall, String reason, Instant now) {
+        activeCall.server().onCallFailed(now);
         gate.onCallEnded(
-                calling.maker().listing(), true, Duration.between(calling.startedAt(), now), expected(calling));
+                activeCall.server().listing(),
+                true,
+                Duration.between(activeCall.startedAt(), now),
+                expected(activeCall));
         output.decided(Decision.builder("piece_call_broken")
-                .field("call", calling.call().number())
-                .field("upstream", calling.call().upstream().id())
-                .field("pieces", calling.pieces().size())
+                .field("call", activeCall.call().number())
+                .field("upstream", activeCall.call().upstream().id())
+                .field("pieces", activeCall.pieces().size())
                 .field("reason", reason)
                 .build());
-        for (BatchQueue.Waiting piece : calling.pieces()) {
-            again(piece, now);
+        for (BatchQueue.QueuedPiece piece : activeCall.pieces()) {
+            retry(piece, now);
         }
     }
 
-    /** Another server may make the piece, once more. */
-    private void again(BatchQueue.Waiting piece, Instant now) {
+    /** Queues a piece again after a failed call, unless its order has reached the retry limit. */
+    private void retry(BatchQueue.QueuedPiece piece, Instant now) {
         if (piece.state().ended()) {
             return;
         }
-        if (piece.state().failed() > MAX_CALL_FAILURES * piece.order().pieces()) {
+        if (piece.state().recordFailure() > MAX_CALL_FAILURES * piece.order().pieces()) {
             fail(piece.state(), BatchOutcome.Reason.FAILED, now);
             return;
         }
-        wait(piece);
+        requeue(piece);
     }
 
-    private void onAnswered(Calling calling, List<PieceAnswer> answers, Instant now) {
-        Duration took = Duration.between(calling.startedAt(), now);
-        calling.maker().answered(took, expected(calling));
+    private void onAnswered(ActiveCall activeCall, List<PieceAnswer> answers, Instant now) {
+        Duration took = Duration.between(activeCall.startedAt(), now);
+        activeCall.server().onCallAnswered(took, expected(activeCall));
         boolean anyFailed = answers.stream().anyMatch(PieceAnswer.Failed.class::isInstance);
-        gate.onCallEnded(calling.maker().listing(), anyFailed, took, expected(calling));
-        for (int place = 0; place < calling.pieces().size(); place++) {
-            BatchQueue.Waiting piece = calling.pieces().get(place);
+        gate.onCallEnded(activeCall.server().listing(), anyFailed, took, expected(activeCall));
+        for (int place = 0; place < activeCall.pieces().size(); place++) {
+            BatchQueue.QueuedPiece piece = activeCall.pieces().get(place);
             PieceAnswer answer = place < answers.size() ? answers.get(place) : new PieceAnswer.Failed();
             if (!(answer instanceof PieceAnswer.Made)) {
-                logNotMade(calling, piece, answer, now);
+                logNotMade(activeCall, piece, answer, now);
             }
             switch (answer) {
-                case PieceAnswer.Made made -> onMade(calling, piece, made.handle(), now);
+                case PieceAnswer.Made made -> onMade(activeCall, piece, made.handle(), now);
                 case PieceAnswer.Late ignored -> fail(piece.state(), BatchOutcome.Reason.LATE, now);
                 case PieceAnswer.InputsGone ignored -> fail(piece.state(), BatchOutcome.Reason.INPUTS_GONE, now);
                 case PieceAnswer.NoRoom ignored -> {
                     long bytes = features.uses(PolicyFeature.ROOM_BY_SIZE)
                             ? piece.order().resultBytes()
                             : 1;
-                    calling.maker().withoutRoom(bytes, now);
-                    again(piece, now);
+                    activeCall.server().onNoCapacity(bytes, now);
+                    retry(piece, now);
                 }
-                case PieceAnswer.Failed ignored -> again(piece, now);
+                case PieceAnswer.Failed ignored -> retry(piece, now);
             }
         }
     }
 
-    private static Duration expected(Calling calling) {
-        BatchContract contract = calling.pieces().getFirst().state().contract();
-        return contract.callOf(calling.pieces().size());
+    private static Duration expected(ActiveCall activeCall) {
+        BatchContract contract = activeCall.pieces().getFirst().state().contract();
+        return contract.callOf(activeCall.pieces().size());
     }
 
-    private void logNotMade(Calling calling, BatchQueue.Waiting piece, PieceAnswer answer, Instant now) {
+    private void logNotMade(ActiveCall activeCall, BatchQueue.QueuedPiece piece, PieceAnswer answer, Instant now) {
         output.decided(Decision.builder("piece_not_made")
                 .field("request", piece.order().request())
                 .field("step", piece.order().step())
                 .field("piece", piece.piece())
-                .field("call", calling.call().number())
-                .field("upstream", calling.call().upstream().id())
+                .field("call", activeCall.call().number())
+                .field("upstream", activeCall.call().upstream().id())
                 .field("answer", answer.getClass().getSimpleName())
                 .field("waited_ms", Duration.between(piece.since(), now).toMillis())
                 .build());
     }
 
-    private void onMade(Calling calling, BatchQueue.Waiting piece, String handle, Instant now) {
+    private void onMade(ActiveCall activeCall, BatchQueue.QueuedPiece piece, String handle, Instant now) {
         OrderState state = piece.state();
-        StepResult result = new StepResult(handle, calling.call().upstream().id());
+        StepResult result = new StepResult(handle, activeCall.call().upstream().id());
         Duration lifetime = state.contract().resultLifetime();
-        calling.maker().results().hold(handle, state.order().resultBytes(), now, lifetime);
+        activeCall.server().results().add(handle, state.order().resultBytes(), now, lifetime);
         if (state.ended()) {
-            // It takes room until its server has heard that nobody wants it.
-            releaseAll(List.of(result));
+            // The result occupies capacity at its server until the server has processed the release.
+            queueReleases(List.of(result));
             return;
         }
-        if (state.made(piece.piece(), result)) {
-            tell(state, new BatchOutcome.Made(state.results()), now);
+        if (state.recordResult(piece.piece(), result)) {
+            publishOutcome(state, new BatchOutcome.Made(state.results()), now);
         }
     }
 
@@ -466,43 +472,43 @@
         if (state.ended()) {
             return;
         }
-        releaseAll(state.results());
-        tell(state, outcome, now);
+        queueReleases(state.results());
+        publishOutcome(state, outcome, now);
     }
 
-    /** It would be held while others go first; its caller may find room later. */
-    private void giveUpOverdue(OrderState state, Instant now) {
+    /** Fails an order that more urgent ones keep delaying; its caller may retry later. */
+    private void failOverdue(OrderState state, Instant now) {
         fail(state, new BatchOutcome.NotMade(BatchOutcome.Reason.OVERLOADED, OVERDUE_RETRY_AFTER), now);
     }
 
-    private void tell(OrderState state, BatchOutcome outcome, Instant now) {
+    private void publishOutcome(OrderState state, BatchOutcome outcome, Instant now) {
         state.end();
         orders.remove(state.order().id());
         BatchQueue queue = queues.get(state.order().pool());
         if (queue != null && !(outcome instanceof BatchOutcome.Made)) {
             queue.dropEnded();
         }
-        told.put(state.order().id(), new PublishedOutcome(outcome, now));
+        publishedOutcomes.put(state.order().id(), new PublishedOutcome(outcome, now));
         output.outcome(state.order(), outcome, now);
     }
 
-    /** Gives up what has become hopeless, tries paused servers again and sends releases. */
+    /** Fails orders that miss their deadline or grace period, dispatches to servers that are usable again and sends releases. */
     public void onTick(Instant now) {
         for (Map.Entry<PoolId, BatchQueue> entry : queues.entrySet()) {
-            for (OrderState state : entry.getValue().hopeless(now)) {
+            for (OrderState state : entry.getValue().missingDeadline(now)) {
                 fail(state, BatchOutcome.Reason.LATE, now);
             }
             dispatch(entry.getKey(), now);
             for (OrderState state : entry.getValue().overdue(now)) {
-                giveUpOverdue(state, now);
+                failOverdue(state, now);
             }
         }
-        forgetTold(now);
+        expireOutcomes(now);
         sendReleases(now);
     }
 
-    private void forgetTold(Instant now) {
-        for (Iterator<PublishedOutcome> each = told.values().iterator(); each.hasNext(); ) {
+    private void expireOutcomes(Instant now) {
+        for (Iterator<PublishedOutcome> each = publishedOutcomes.values().iterator(); each.hasNext(); ) {
             if (now.isBefore(each.next().at().plus(OUTCOME_RETENTION))) {
                 return;
             }
@@ -510,47 +516,47 @@
         }
     }
 
-    /** The next tick tells servers of all releases, however short ago it has told them of others. */
+    /** Makes the next tick send all pending releases, regardless of the flush interval. */
     public void releaseAtOnce() {
-        releaseDue = Instant.EPOCH;
+        nextReleaseAt = Instant.EPOCH;
     }
 
     private void sendReleases(Instant now) {
-        if (now.isBefore(releaseDue)) {
+        if (now.isBefore(nextReleaseAt)) {
             return;
         }
-        releaseDue = now.plus(RELEASE_FLUSH_INTERVAL);
-        for (StageServer maker : makers.values()) {
-            if (!maker.released().isEmpty()) {
-                lastRelease++;
-                List<String> handles = List.copyOf(maker.released());
-                maker.released().clear();
-                releases.put(lastRelease, new Release(maker, handles));
-                output.release(lastRelease, maker.listing(), handles);
+        nextReleaseAt = now.plus(RELEASE_FLUSH_INTERVAL);
+        for (StageServer server : servers.values()) {
+            if (!server.pendingReleases().isEmpty()) {
+                lastReleaseNumber++;
+                List<String> handles = List.copyOf(server.pendingReleases());
+                server.pendingReleases().clear();
+                releases.put(lastReleaseNumber, new Release(server, handles));
+                output.release(lastReleaseNumber, server.listing(), handles);
             }
         }
     }
 
     /**
-     * A release is over. Only now the room counts as free: a call that is sent beside a release may have its turn first,
-     * and would find no room for its results.
+     * Processes the end of a release. The capacity counts as free only from now on: the server may process a call that was sent
+     * concurrently with the release first, and would have no capacity for its results.
      *
-     * @param done whether the server has taken it; if not, the results stay until their lifetime ends
+     * @param done whether the server processed the release; if not, the results stay until their lifetime ends
      */
     public void onReleaseEnded(long number, boolean done) {
         Release release = releases.remove(number);
         if (release != null && done) {
-            release.handles().forEach(release.maker().results()::release);
+            release.handles().forEach(release.server().results()::release);
         }
     }
 
-    /** What waits for a pool, for the metrics. */
+    /** The number of pieces that are queued for a pool, for the metrics. */
     public int waiting(PoolId pool) {
         BatchQueue queue = queues.get(pool);
         return queue == null ? 0 : queue.size();
     }
 
-    /** The pools that pieces were ordered of. */
+    /** The pools for which orders have arrived. */
     public List<PoolId> pools() {
         return List.copyOf(queues.keySet());
     }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/batch/CallGate.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/batch/CallGate.java
@@ -3,9 +3,9 @@
 import java.time.Duration;
 import org.wagtaillug.directory.Listing;
 
-/** Says which stage servers may be called now, and hears of the calls. */
+/** Decides which stage servers may be called, and observes the calls. */
 public interface CallGate {
-    /** Lets every call pass. */
+    /** Allows every call. */
     CallGate OPEN = new CallGate() {
         @Override
         public boolean allows(Listing server) {
@@ -27,18 +27,18 @@
     /** Whether a server may be called now. */
     boolean allows(Listing server);
 
-    /** Whether a server that may be called goes before the others. */
+    /** Whether an allowed server takes precedence over the others. */
     boolean preferred(Listing server);
 
-    /** A server is called. */
+    /** Called when a call to a server starts. */
     void onCall(Listing server);
 
     /**
-     * A call has ended that the server took.
+     * Called when a call ends that the server did not refuse.
      *
-     * @param failed whether the call broke off or any of its items failed
-     * @param took how long it took
-     * @param expected how long it should have taken
+     * @param failed whether the call or any of its items failed
+     * @param took the duration of the call
+     * @param expected the expected duration
      */
     void onCallEnded(Listing server, boolean failed, Duration took, Duration expected);
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/batch/HeldResults.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/batch/HeldResults.java
@@ -7,20 +7,21 @@
 import java.util.Map;
 
 /**
- * The account of one server's room for results: what its calls under way will need and what lies there.
+ * Tracks one server's result storage: the results that it holds and the space reserved by calls in progress.
  *
- * <p>A call whose results find no room fails for those pieces, after its time was spent; so a piece is sent only when the
- * account has room for it. The server's own figure is asked for nowhere: asking costs as much as a health check.
+ * <p>If the results of a call exceed the server's capacity, the affected pieces fail after their time has been spent, so a
+ * piece is sent only if its result fits by this account. The server is not asked for its actual usage, because such a request
+ * costs as much as a health check.
  */
 final class HeldResults {
-    private final Map<String, Held> held = new HashMap<>();
+    private final Map<String, HeldResult> held = new HashMap<>();
     private long heldBytes;
     private long reservedBytes;
 
-    private record Held(long bytes, Instant until) {}
+    private record HeldResult(long bytes, Instant until) {}
 
-    /** Bytes in use or promised. */
-    long used() {
+    /** The number of bytes held or reserved. */
+    long usedBytes() {
         return heldBytes + reservedBytes;
     }
 
@@ -32,14 +33,14 @@
         reservedBytes -= bytes;
     }
 
-    void hold(String handle, long bytes, Instant now, Duration lifetime) {
-        held.put(handle, new Held(bytes, now.plus(lifetime)));
+    void add(String handle, long bytes, Instant now, Duration lifetime) {
+        held.put(handle, new HeldResult(bytes, now.plus(lifetime)));
         heldBytes += bytes;
     }
 
-    /** Whether the result lay there. */
+    /** Removes a result; returns whether it was held. */
     boolean release(String handle) {
-        Held released = held.remove(handle);
+        HeldResult released = held.remove(handle);
         if (released == null) {
             return false;
         }
@@ -47,13 +48,13 @@
         return true;
     }
 
-    /** Forgets results whose lifetime at the server has ended. */
+    /** Removes the results whose lifetime at the server has ended. */
     void expire(Instant now) {
-        for (Iterator<Held> each = held.values().iterator(); each.hasNext(); ) {
-            Held one = each.next();
-            if (!now.isBefore(one.until())) {
-                heldBytes -= one.bytes();
-                each.remove();
+        for (Iterator<HeldResult> iterator = held.values().iterator(); iterator.hasNext(); ) {
+            HeldResult result = iterator.next();
+            if (!now.isBefore(result.until())) {
+                heldBytes -= result.bytes();
+                iterator.remove();
             }
         }
     }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/batch/OrderId.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/batch/OrderId.java
@@ -3,9 +3,9 @@
 import org.wagtaillug.id.NodeId;
 
 /**
- * Names an order for pieces.
+ * Identifies an order.
  *
- * @param origin the node that wants the pieces
- * @param number given once in a run of that node
+ * @param origin the node that placed the order
+ * @param number unique during the lifetime of that node's process
  */
 public record OrderId(NodeId origin, long number) {}
--- a/wagtaillug-core/src/main/java/org/wagtaillug/batch/OrderState.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/batch/OrderState.java
@@ -4,20 +4,20 @@
 import java.util.List;
 import org.wagtaillug.route.BatchContract;
 
-/** An order that is being worked on. */
+/** The progress of one order. */
 final class OrderState {
     private final BatchOrder order;
     private final BatchContract contract;
     private final StepResult[] results;
-    private int missing;
-    private int faults;
+    private int missingResults;
+    private int failures;
     private boolean ended;
 
     OrderState(BatchOrder order, BatchContract contract) {
         this.order = order;
         this.contract = contract;
         this.results = new StepResult[order.pieces()];
-        this.missing = order.pieces();
+        this.missingResults = order.pieces();
     }
 
     BatchOrder order() {
@@ -28,37 +28,37 @@
         return contract;
     }
 
-    /** Notes a result; whether it was the last one. */
-    boolean made(int piece, StepResult result) {
+    /** Records the result of a piece; returns whether all pieces now have a result. */
+    boolean recordResult(int piece, StepResult result) {
         if (results[piece] == null) {
-            missing--;
+            missingResults--;
         }
         results[piece] = result;
-        return missing == 0;
+        return missingResults == 0;
     }
 
-    /** Notes that a call for some of its pieces failed; how often that has happened. */
-    int failed() {
-        faults++;
-        return faults;
+    /** Records a failed attempt at one of its pieces; returns the number of failures so far. */
+    int recordFailure() {
+        failures++;
+        return failures;
     }
 
     void end() {
         ended = true;
     }
 
-    /** Whether its node has been told, or does not want it any more. */
+    /** Whether its outcome has been published or the order was withdrawn. */
     boolean ended() {
         return ended;
     }
 
     List<StepResult> results() {
-        List<StepResult> made = new ArrayList<>();
+        List<StepResult> available = new ArrayList<>();
         for (StepResult result : results) {
             if (result != null) {
-                made.add(result);
+                available.add(result);
             }
         }
-        return made;
+        return available;
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/batch/PoolThroughput.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/batch/PoolThroughput.java
@@ -7,44 +7,44 @@
 import java.util.SortedSet;
 import java.util.TreeSet;
 
-/** What the calls of a pool hold and what is ordered of it, of late. */
+/** Recent statistics of a pool: the fill ratio of its calls and the arrival rates of orders by rank. */
 final class PoolThroughput {
-    /** Arrivals are counted over this time: a few clumps of requests, and a burst shows within it. */
+    /** Averaging window for arrivals: long enough to span several groups of requests, short enough to show a burst. */
     private static final Duration WINDOW = Duration.ofSeconds(2);
 
     /** Weight of the newest call. */
     private static final double EWMA_ALPHA = 0.2;
 
     private final Deque<Arrival> arrivals = new ArrayDeque<>();
-    private double filled = 1;
+    private double fillRatio = 1;
 
     private record Arrival(Instant at, int rank, int pieces) {}
 
     void onOrder(BatchOrder order, Instant now) {
-        forget(now);
+        expire(now);
         arrivals.addLast(new Arrival(now, order.urgency().rank(), order.pieces()));
     }
 
     /**
-     * A call begins.
+     * Records the start of a call.
      *
-     * @param pieces what it holds
-     * @param most what it could hold
-     * @param more whether pieces still wait: one that leaves none behind says nothing of what calls could hold
+     * @param pieces the number of pieces in the call
+     * @param maxPieces the maximum number of pieces in a call
+     * @param backlog whether pieces are still queued; a call that empties the queue does not show how full calls could be
      */
-    void onCall(int pieces, int most, boolean more) {
-        double now = more ? (double) pieces / most : 1;
-        filled = filled * (1 - EWMA_ALPHA) + now * EWMA_ALPHA;
+    void onCall(int pieces, int maxPieces, boolean backlog) {
+        double newest = backlog ? (double) pieces / maxPieces : 1;
+        fillRatio = fillRatio * (1 - EWMA_ALPHA) + newest * EWMA_ALPHA;
     }
 
-    /** The part of a call that is filled while more waits than fits; room for results may leave some of it empty. */
-    double filled() {
-        return filled;
+    /** The average fill ratio of calls under backlog; below 1 when result capacity limits the calls. */
+    double fillRatio() {
+        return fillRatio;
     }
 
-    /** Pieces a second that are ordered with a lower rank than one: they go before it, whenever they come. */
-    double before(int rank, Instant now) {
-        forget(now);
+    /** Arrival rate, in pieces per second, of the ranks below a rank, which are served before it whenever they arrive. */
+    double rateBelow(int rank, Instant now) {
+        expire(now);
         int pieces = 0;
         for (Arrival arrival : arrivals) {
             pieces += arrival.rank() < rank ? arrival.pieces() : 0;
@@ -52,15 +52,15 @@
         return pieces / (WINDOW.toMillis() / 1000.0);
     }
 
-    /** The ranks of what is ordered of late, the lowest first. */
+    /** The ranks of recent orders, in ascending order. */
     SortedSet<Integer> ranks(Instant now) {
-        forget(now);
+        expire(now);
         SortedSet<Integer> ranks = new TreeSet<>();
         arrivals.forEach(arrival -> ranks.add(arrival.rank()));
         return ranks;
     }
 
-    private void forget(Instant now) {
+    private void expire(Instant now) {
         Instant oldest = now.minus(WINDOW);
         while (!arrivals.isEmpty() && arrivals.peekFirst().at().isBefore(oldest)) {
             arrivals.removeFirst();
--- a/wagtaillug-core/src/main/java/org/wagtaillug/batch/QueueDelayEstimate.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/batch/QueueDelayEstimate.java
@@ -4,10 +4,10 @@
 import org.wagtaillug.id.PoolId;
 
 /**
- * How long an order of a rank is likely to wait for a pool before a call takes it.
+ * The expected queue delay of an order of a rank in a pool.
  *
- * @param pool which
- * @param rank 0 goes first
- * @param expected until its last piece is taken
+ * @param pool the pool
+ * @param rank the priority class; 0 is served first
+ * @param expected the time until its last piece is sent in a call
  */
 public record QueueDelayEstimate(PoolId pool, int rank, Duration expected) {}
--- a/wagtaillug-core/src/main/java/org/wagtaillug/batch/StageServer.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/batch/StageServer.java
@@ -7,29 +7,29 @@
 import org.wagtaillug.directory.Listing;
 import org.wagtaillug.route.BatchContract;
 
-/** What the filling node knows of one stage server. */
+/** The scheduler's state for one stage server. */
 final class StageServer {
     private static final double EWMA_ALPHA = 0.4;
 
-    private static final Duration FULL_BACKOFF = Duration.ofMillis(30);
+    private static final Duration REFUSAL_BACKOFF = Duration.ofMillis(30);
 
-    /** Room comes back with a release or the end of a result's lifetime. */
+    /** Capacity becomes free with a release or at the end of a result's lifetime. */
     private static final Duration NO_CAPACITY_BACKOFF = Duration.ofMillis(100);
 
-    /** After a call that broke; doubled for each further one. */
+    /** Pause after a failed call; doubled for each further consecutive failure. */
     private static final Duration FAILURE_BACKOFF = Duration.ofMillis(500);
 
     private static final int MAX_DOUBLINGS = 3;
 
     private final HeldResults results = new HeldResults();
-    private final List<String> released = new ArrayList<>();
+    private final List<String> pendingReleases = new ArrayList<>();
     private Listing listing;
-    private int calls;
-    private int faults;
+    private int activeCalls;
+    private int consecutiveFailures;
     private double slowness = 1;
     private Instant pausedUntil = Instant.EPOCH;
-    private long roomLimit = Long.MAX_VALUE;
-    private Instant roomLimitUntil = Instant.EPOCH;
+    private long capacityLimit = Long.MAX_VALUE;
+    private Instant capacityLimitUntil = Instant.EPOCH;
 
     StageServer(Listing listing) {
         this.listing = listing;
@@ -39,8 +39,8 @@
         return listing;
     }
 
-    /** Takes the newest listing; a server that has started anew holds nothing. */
-    StageServer refreshed(Listing newest) {
+    /** Updates the listing; returns a fresh state if the server has restarted and so holds no results. */
+    StageServer withListing(Listing newest) {
         if (newest.incarnation() != listing.incarnation()) {
             return new StageServer(newest);
         }
@@ -52,61 +52,61 @@
         return results;
     }
 
-    /** Handles to release at the server. */
-    List<String> released() {
-        return released;
+    /** The handles that are to be released at the server. */
+    List<String> pendingReleases() {
+        return pendingReleases;
     }
 
-    /** How many times longer its calls take than its contract says, lately. */
+    /** The recent ratio of actual to expected call durations. */
     double slowness() {
         return slowness;
     }
 
-    boolean free(int slots, Instant now) {
-        return calls < slots && !now.isBefore(pausedUntil);
+    boolean hasFreeSlot(int slots, Instant now) {
+        return activeCalls < slots && !now.isBefore(pausedUntil);
     }
 
     boolean paused(Instant now) {
         return now.isBefore(pausedUntil);
     }
 
-    void began() {
-        calls++;
+    void onCallStarted() {
+        activeCalls++;
     }
 
-    void answered(Duration took, Duration expected) {
-        calls--;
-        faults = 0;
+    void onCallAnswered(Duration took, Duration expected) {
+        activeCalls--;
+        consecutiveFailures = 0;
         double ratio = (double) took.toNanos() / Math.max(1, expected.toNanos());
         slowness = slowness * (1 - EWMA_ALPHA) + ratio * EWMA_ALPHA;
     }
 
-    void full(Instant now) {
-        calls--;
-        pausedUntil = now.plus(FULL_BACKOFF);
+    void onCallRefused(Instant now) {
+        activeCalls--;
+        pausedUntil = now.plus(REFUSAL_BACKOFF);
     }
 
-    void broke(Instant now) {
-        calls--;
-        pausedUntil = now.plus(FAILURE_BACKOFF.multipliedBy(1L << Math.min(MAX_DOUBLINGS, faults)));
-        faults++;
+    void onCallFailed(Instant now) {
+        activeCalls--;
+        pausedUntil = now.plus(FAILURE_BACKOFF.multipliedBy(1L << Math.min(MAX_DOUBLINGS, consecutiveFailures)));
+        consecutiveFailures++;
     }
 
     /**
-     * A result of so many bytes found no room, whatever the account says: the server may hold results that another node, or
-     * this one before it started anew, ordered, or some that are larger than their step says. Smaller ones may still fit;
-     * larger ones wait a little.
+     * Records that the server had no capacity for a result of so many bytes although the account has. The server may hold results
+     * ordered by another node or by this one before a restart, or results larger than their step declares. Smaller results may
+     * still fit; larger ones are held back for {@link #NO_CAPACITY_BACKOFF}.
      */
-    void withoutRoom(long bytes, Instant now) {
-        boolean limited = now.isBefore(roomLimitUntil);
-        roomLimit = limited ? Math.min(roomLimit, bytes - 1) : bytes - 1;
-        roomLimitUntil = now.plus(NO_CAPACITY_BACKOFF);
+    void onNoCapacity(long bytes, Instant now) {
+        boolean limited = now.isBefore(capacityLimitUntil);
+        capacityLimit = limited ? Math.min(capacityLimit, bytes - 1) : bytes - 1;
+        capacityLimitUntil = now.plus(NO_CAPACITY_BACKOFF);
     }
 
-    /** How many bytes of results a call that begins now may make. */
-    long room(BatchContract contract, Instant now) {
+    /** The total size of the results, in bytes, that a call starting now may produce. */
+    long freeCapacity(BatchContract contract, Instant now) {
         results.expire(now);
-        long room = contract.roomBytes() - results.used();
-        return now.isBefore(roomLimitUntil) ? Math.min(room, roomLimit) : room;
+        long freeCapacity = contract.roomBytes() - results.usedBytes();
+        return now.isBefore(capacityLimitUntil) ? Math.min(freeCapacity, capacityLimit) : freeCapacity;
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/batch/StepResult.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/batch/StepResult.java
@@ -3,9 +3,9 @@
 import org.wagtaillug.id.VmId;
 
 /**
- * A result that lies at its maker until it is released or its lifetime ends.
+ * A result that is stored at the server that computed it until it is released or its lifetime ends.
  *
- * @param handle what the maker calls it
- * @param maker the upstream where it lies
+ * @param handle the server's name for the result
+ * @param maker the upstream that computed and stores it
  */
 public record StepResult(String handle, VmId maker) {}
--- a/wagtaillug-core/src/test/java/org/wagtaillug/batch/BatchSchedulerTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/batch/BatchSchedulerTest.java
@@ -32,9 +32,9 @@
 
     private final UpstreamDirectory directory = new UpstreamDirectory();
     private final Output output = new Output();
-    private final BatchScheduler filler = new BatchScheduler(directory, output, PolicyFeatures.ALL);
+    private final BatchScheduler scheduler = new BatchScheduler(directory, output, PolicyFeatures.ALL);
     private Instant now = START;
-    private long numbers;
+    private long lastNumber;
 
     private static final class Output implements BatchOutput {
         private final List<BatchCall> calls = new ArrayList<>();
@@ -52,13 +52,13 @@
         }
 
         @Override
-        public void release(long number, Listing maker, List<String> handles) {
+        public void release(long number, Listing server, List<String> handles) {
             releases.add(number);
         }
 
         @Override
         public void decided(Decision decision) {
-            // Decisions are the log's.
+            // The decision log is not tested here.
         }
     }
 
@@ -67,11 +67,11 @@
     }
 
     private long order(int pieces, int rank, Duration aim, long bytes, Optional<DomainId> near) {
-        numbers++;
-        filler.onOrder(
+        lastNumber++;
+        scheduler.onOrder(
                 new BatchOrder(
-                        new OrderId(new NodeId(new VmId("node"), 1), numbers),
-                        new RequestId("request-" + numbers),
+                        new OrderId(new NodeId(new VmId("node"), 1), lastNumber),
+                        new RequestId("request-" + lastNumber),
                         0,
                         POOL,
                         pieces,
@@ -83,7 +83,7 @@
                                 rank, now.plus(aim), now.plus(aim).plusSeconds(4))),
                 CONTRACT,
                 now);
-        return numbers;
+        return lastNumber;
     }
 
     private long order(int pieces) {
@@ -95,16 +95,16 @@
         for (int item = 0; item < call.items().size(); item++) {
             answers.add(new PieceAnswer.Made("h-" + call.number() + "-" + item));
         }
-        filler.onCallEnded(call.number(), new BatchCallEnd.Answered(answers), now);
+        scheduler.onCallEnded(call.number(), new BatchCallEnd.Answered(answers), now);
     }
 
     private void tick(Duration time) {
         now = now.plus(time);
-        filler.onTick(now);
+        scheduler.onTick(now);
     }
 
     @Test
-    void whatWaitsFillsTheNextCall() {
+    void queuedPiecesFillTheNextCall() {
         server("i-1", NORTH);
         order(1);
         order(2);
@@ -115,9 +115,9 @@
     }
 
     @Test
-    void whatCanBeInTimeGoesBeforeWhatIsLate() {
-        // A burst has made some requests late. If they went first, those that came after them would be late as well,
-        // one after the other, long after the burst.
+    void piecesThatMeetTheirTargetGoBeforeLateOnes() {
+        // A burst has made some requests late. Serving them first would make the requests that arrive after them late
+        // as well, and the pool would not recover until long after the burst.
         server("i-1", NORTH);
         order(1);
         long late = order(4, 0, Duration.ofMillis(-10), 1, Optional.empty());
@@ -128,7 +128,7 @@
     }
 
     @Test
-    void whatIsLateIsNotHeldToItsDeadline() {
+    void lateOrdersAreAbandonedAfterTheGracePeriod() {
         server("i-1", NORTH);
         order(1);
         long late = order(1, 0, Duration.ofMillis(-10), 1, Optional.empty());
@@ -140,28 +140,28 @@
     }
 
     @Test
-    void roomCountsAsFreeOnlyWhenTheServerHasHeardOfTheRelease() {
-        // A call and a release leave at the same time on two connections. If the call has its turn first, the server
-        // finds no room for its results and the call's time is lost.
+    void capacityCountsAsFreeOnlyWhenTheServerHasProcessedTheRelease() {
+        // A call and a release are sent concurrently on two connections. If the server processes the call first, it has
+        // no capacity for the results, and the time of the call is wasted.
         server("i-1", NORTH);
         long first = order(2, 0, Duration.ofSeconds(2), 50, Optional.empty());
         answer(output.calls.getFirst());
-        filler.onReleased(((BatchOutcome.Made) output.outcomes.get(first)).results());
+        scheduler.onReleased(((BatchOutcome.Made) output.outcomes.get(first)).results());
         tick(Duration.ofMillis(20));
         order(2, 0, Duration.ofSeconds(2), 50, Optional.empty());
         assertThat(output.calls).hasSize(1);
-        filler.onReleaseEnded(output.releases.getFirst(), true);
+        scheduler.onReleaseEnded(output.releases.getFirst(), true);
         tick(Duration.ofMillis(20));
         assertThat(output.calls).hasSize(2);
     }
 
     @Test
-    void aCallThatBreaksIsMadeByAnotherServer() {
+    void aFailedCallIsRetriedAtAnotherServer() {
         server("i-1", NORTH);
         server("i-2", SOUTH);
         long order = order(2);
         BatchCall broken = output.calls.getFirst();
-        filler.onCallEnded(broken.number(), new BatchCallEnd.Broken("reset"), now);
+        scheduler.onCallEnded(broken.number(), new BatchCallEnd.Broken("reset"), now);
         assertThat(output.calls).hasSize(2);
         assertThat(output.calls.getLast().upstream().id())
                 .isNotEqualTo(broken.upstream().id());
@@ -170,7 +170,7 @@
     }
 
     @Test
-    void piecesWaitForAServerNearTheirInputsWhileTheyCanBeInTime() {
+    void piecesWaitForAServerNearTheirInputsWhileTheyCanMeetTheirTarget() {
         server("i-1", NORTH);
         server("i-2", SOUTH);
         order(6, 0, Duration.ofSeconds(2), 1, Optional.of(SOUTH));
@@ -183,34 +183,34 @@
     }
 
     @Test
-    void anOrderThatIsSaidAgainIsNotMadeTwice() {
+    void aResentOrderIsNotExecutedTwice() {
         server("i-1", NORTH);
         order(1);
-        numbers--;
+        lastNumber--;
         order(1);
         answer(output.calls.getFirst());
-        numbers--;
+        lastNumber--;
         order(1);
         assertThat(output.calls).hasSize(1);
     }
 
     @Test
-    void aPoolWithoutAServerIsSaidAtOnce() {
+    void anOrderForAPoolWithoutServersFailsAtOnce() {
         long order = order(1);
         assertThat(output.outcomes.get(order))
                 .isEqualTo(new BatchOutcome.NotMade(BatchOutcome.Reason.NO_UPSTREAM, Duration.ofMillis(200)));
     }
 
     /**
-     * All nodes start anew, and the stage servers still hold large results for requests that nobody remembers. Their room is
-     * full until those lapse seconds later; small results would still fit, but after the first large one that found no room
-     * a server got nothing at all for a while, and requests that need only small results were late with the others.
+     * After a restart of all nodes, the stage servers still hold large results of forgotten requests, and their capacity stays
+     * used until those expire seconds later. If a server were paused after the first large result that did not fit, requests
+     * that need only small results, which would still fit, would be late too.
      */
     @Test
-    void smallResultsGoOnWhereALargeOneFoundNoRoom() {
+    void smallResultsAreStillOrderedWhereALargeOneDidNotFit() {
         server("i-1", NORTH);
         long large = order(1, 0, Duration.ofSeconds(2), 60, Optional.empty());
-        filler.onCallEnded(
+        scheduler.onCallEnded(
                 output.calls.getFirst().number(), new BatchCallEnd.Answered(List.of(new PieceAnswer.NoRoom())), now);
 
         long small = order(2, 1, Duration.ofSeconds(2), 5, Optional.empty());
@@ -221,10 +221,10 @@
     }
 
     @Test
-    void aLargeResultIsTriedAgainALittleLater() {
+    void aLargeResultIsRetriedAfterABackoff() {
         server("i-1", NORTH);
         order(1, 0, Duration.ofSeconds(2), 60, Optional.empty());
-        filler.onCallEnded(
+        scheduler.onCallEnded(
                 output.calls.getFirst().number(), new BatchCallEnd.Answered(List.of(new PieceAnswer.NoRoom())), now);
         tick(Duration.ofMillis(90));
         assertThat(output.calls).hasSize(1);
@@ -233,10 +233,10 @@
     }
 
     @Test
-    void anOrderThatOthersOvertakeIsRefusedWhenItComes() {
-        // A burst of urgent orders takes nearly all that a pool gets done. An order of a lower rank would wait behind
-        // all
-        // that come after it, too, and be given up in the end; its caller hears at once, and may come back in time.
+    void anOrderThatMoreUrgentOnesWouldOvertakeIsRefusedOnArrival() {
+        // A burst of urgent orders uses nearly the whole throughput of a pool. An order of a lower priority would also
+        // wait behind all later urgent ones and be abandoned in the end. If it is refused on arrival, its caller can
+        // retry in time.
         server("i-1", NORTH);
         long last = 0;
         for (int round = 0; round < 8; round++) {
@@ -253,16 +253,16 @@
     }
 
     @Test
-    void waitsAreToldForTheRanksThatWait() {
+    void waitsArePublishedForRanksWithQueuedPieces() {
         server("i-1", NORTH);
         for (int each = 0; each < 30; each++) {
             order(1, 1, Duration.ofSeconds(60), 1, Optional.empty());
         }
-        assertThat(filler.waits(now)).hasSize(1);
-        QueueDelayEstimate wait = filler.waits(now).getFirst();
+        assertThat(scheduler.waits(now)).hasSize(1);
+        QueueDelayEstimate wait = scheduler.waits(now).getFirst();
         assertThat(wait.rank()).isEqualTo(1);
         // 29 pieces wait; a full call of six takes 270 ms.
         assertThat(wait.expected()).isBetween(Duration.ofMillis(1200), Duration.ofMillis(1600));
-        assertThat(filler.waitOf(POOL, 0, now)).isZero();
+        assertThat(scheduler.waitOf(POOL, 0, now)).isZero();
     }
 }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/routing/PrefixPlacementTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/routing/PrefixPlacementTest.java
@@ -74,8 +74,8 @@
     @Test
     void aRarelyRequestedManualIsReadByOneEngine() {
         // A hundred manuals are each requested rarely, through all nodes. With a quarter of the engines as homes of
-        // each
-        // manual, every second request would miss the cache and wait until another engine has read the manual again.
+        // each manual, every second request would miss the cache and wait until another engine has read the manual
+        // again.
         for (int warm = 0; warm < 60; warm++) {
             send(warm % 6, prompt("other-" + warm));
         }
@@ -93,8 +93,7 @@
     @Test
     void aPopularManualGetsMoreEngines() {
         // Half of all requests are for one manual. With a single engine as its home, requests would queue there while
-        // the
-        // other engines are idle.
+        // the other engines are idle.
         Set<VmId> enginesRead = new HashSet<>();
         for (int request = 0; request < 60; request++) {
             send(0, prompt("other-" + request));
@@ -114,9 +113,8 @@
     @Test
     void laterRequestsSpillOverToTheSameEngine() {
         // The home of a manual has a long queue when further requests for the manual arrive one after another. The
-        // first
-        // spills over to another engine, which reads the manual; without the history, each further one would make yet
-        // another engine read it.
+        // first spills over to another engine, which reads the manual; without the history, each further one would make
+        // yet another engine read it.
         for (int warm = 0; warm < 150; warm++) {
             send(0, prompt("other-" + warm));
         }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/routing/UpstreamChooserTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/routing/UpstreamChooserTest.java
@@ -100,8 +100,7 @@
     @Test
     void suspendedServersAreUsedWhenThereIsNoOther() {
         // Every server of a pool has failed twice for a transient reason. Excluding suspended servers would make the
-        // pool
-        // unavailable although all of its servers are up.
+        // pool unavailable although all of its servers are up.
         for (int number = 1; number <= 8; number++) {
             VmId id = new VmId("i-" + number);
             for (int failure = 0; failure < 2; failure++) {
