--- a/wagtaillug-core/src/main/java/org/wagtaillug/retry/AttemptBudget.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/retry/AttemptBudget.java
@@ -1,22 +1,22 @@
 package org.wagtaillug.retry;
 
 /**
- * Lets extra attempts be at most a given share of the requests.
+ * A token bucket that limits extra attempts to a fraction of the requests.
  *
- * <p>Guards against a retry storm: when a pool fails as a whole, every request would be tried as often as its template
- * allows, and the pool would face several times its load when it comes back. Each request earns a fraction of an extra
- * attempt and each extra attempt spends a whole one, so the share holds over any stretch of requests that is long
- * against {@link #MAX_SAVED}.
+ * <p>Prevents retry storms: when a whole pool fails, every request would be attempted as often as its template allows, and
+ * the pool would face several times its normal load on recovery. Each request adds a fraction of a token and each extra
+ * attempt takes a whole one, so the fraction holds over any series of requests that is long compared to
+ * {@link #MAX_TOKENS}.
  */
 public final class AttemptBudget {
-    /** The most extra attempts that can be saved up; also what a new node begins with. */
-    public static final double MAX_SAVED = 5;
+    /** The bucket's size, in extra attempts; the bucket of a new node is full. */
+    public static final double MAX_TOKENS = 5;
 
     private final double share;
-    private double saved = MAX_SAVED;
+    private double tokens = MAX_TOKENS;
 
     /**
-     * Starts with the most that can be saved.
+     * Creates a budget with a full bucket.
      *
      * @param share extra attempts per request, 0 to 1
      */
@@ -27,17 +27,17 @@
         this.share = share;
     }
 
-    /** Notes a request. */
+    /** Adds the tokens of one request. */
     public void earn() {
-        saved = Math.min(MAX_SAVED, saved + share);
+        tokens = Math.min(MAX_TOKENS, tokens + share);
     }
 
-    /** Takes one extra attempt; false if none is left. */
+    /** Takes a token for one extra attempt; false if there is none. */
     public boolean spend() {
-        if (saved < 1) {
+        if (tokens < 1) {
             return false;
         }
-        saved -= 1;
+        tokens -= 1;
         return true;
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/retry/RetryBudget.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/retry/RetryBudget.java
@@ -7,10 +7,10 @@
 import java.util.function.IntSupplier;
 
 /**
- * This node's part of what all nodes together may send a pool beyond the first attempt of each request, in any window.
+ * This node's share of the retries that all nodes together may send to a pool in any time window.
  *
- * <p>Guards against a retry storm without a message between nodes: the part that follows the requests follows this node's
- * own requests, and the fixed part is divided by the number of nodes that share it.
+ * <p>Prevents retry storms without coordination between nodes: the variable part is proportional to this node's own requests,
+ * and the fixed part is divided by the number of nodes that share it.
  */
 public final class RetryBudget {
     private final Duration window;
@@ -18,15 +18,15 @@
     private final double fixed;
     private final IntSupplier sharers;
     private final Deque<Instant> requests = new ArrayDeque<>();
-    private final Deque<Instant> repeats = new ArrayDeque<>();
+    private final Deque<Instant> retries = new ArrayDeque<>();
 
     /**
-     * Nothing is spent yet.
+     * Creates a budget without recorded requests or retries.
      *
-     * @param window any span of this length counts
-     * @param ratio repeats per request, 0 to 1
-     * @param fixed repeats beyond that, of all nodes together
-     * @param sharers how many nodes share the fixed part now
+     * @param window the length of the sliding window
+     * @param ratio retries per request, 0 to 1
+     * @param fixed additional retries, for all nodes together
+     * @param sharers the current number of nodes that share the fixed part
      */
     public RetryBudget(Duration window, double ratio, double fixed, IntSupplier sharers) {
         this.window = window;
@@ -35,29 +35,29 @@
         this.sharers = sharers;
     }
 
-    /** Notes the first attempt of a request. */
+    /** Records the first attempt of a request. */
     public void onRequest(Instant now) {
-        forget(now);
+        expire(now);
         requests.addLast(now);
     }
 
-    /** Takes one repeat; false if none is left. */
+    /** Takes one retry from the budget; false if it is exhausted. */
     public boolean spend(Instant now) {
-        forget(now);
-        if (repeats.size() + 1 > ratio * requests.size() + fixed / sharers.getAsInt()) {
+        expire(now);
+        if (retries.size() + 1 > ratio * requests.size() + fixed / sharers.getAsInt()) {
             return false;
         }
-        repeats.addLast(now);
+        retries.addLast(now);
         return true;
     }
 
-    private void forget(Instant now) {
+    private void expire(Instant now) {
         Instant oldest = now.minus(window);
         while (!requests.isEmpty() && requests.peekFirst().isBefore(oldest)) {
             requests.removeFirst();
         }
-        while (!repeats.isEmpty() && repeats.peekFirst().isBefore(oldest)) {
-            repeats.removeFirst();
+        while (!retries.isEmpty() && retries.peekFirst().isBefore(oldest)) {
+            retries.removeFirst();
         }
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/retry/package-info.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/retry/package-info.java
@@ -1,2 +1,2 @@
-/** How many attempts beyond the first a node may make, so that a failing pool is not buried under retries. */
+/** Retry budgets, which limit the attempts beyond the first so that retries do not overload a failing pool. */
 package org.wagtaillug.retry;
--- a/wagtaillug-core/src/test/java/org/wagtaillug/retry/RetryBudgetTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/retry/RetryBudgetTest.java
@@ -10,9 +10,9 @@
     private static final Instant NOW = Instant.parse("2026-01-01T00:00:00Z");
 
     @Test
-    void noWindowHasMoreThanItsShare() {
-        // A pool fails as a whole while callers go on asking. Every request would be tried twice, and the pool would
-        // face twice its load when it comes back.
+    void noWindowExceedsTheBudget() {
+        // A whole pool fails under continuing load. Without a budget, every request would be attempted twice, and the
+        // pool would face twice its normal load on recovery.
         RetryBudget budget = new RetryBudget(Duration.ofSeconds(10), 0.2, 4, () -> 1);
         int spent = 0;
         for (int request = 0; request < 100; request++) {
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void whatWasSpentComesBackAfterTheWindow() {
+    void spentRetriesAreAvailableAgainAfterTheWindow() {
         RetryBudget budget = new RetryBudget(Duration.ofSeconds(10), 0.2, 1, () -> 1);
         assertThat(budget.spend(NOW)).isTrue();
         assertThat(budget.spend(NOW.plusSeconds(10))).isFalse();
