--- a/wagtaillug-core/src/main/java/org/wagtaillug/health/EngineTimes.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/health/EngineTimes.java
@@ -10,74 +10,74 @@
 import java.util.Optional;
 import org.wagtaillug.id.PoolId;
 
-/** How long the engines of each pool take from a request's sending to the first event of its answer, of late. */
+/** Recent times to first event of the engines of each pool, measured from the sending of the request. */
 public final class EngineTimes {
-    /** First events that are remembered of a pool. */
+    /** Maximum number of samples kept for a pool. */
     private static final int MAX_SAMPLES = 64;
 
-    /** Fewer say too little. */
+    /** Minimum number of samples for an estimate. */
     private static final int MIN_SAMPLES = 8;
 
-    /** What an engine took long ago says nothing of its load now. */
-    private static final Duration REMEMBERED_FOR = Duration.ofMinutes(1);
+    /** Older samples do not reflect the current load of the engines. */
+    private static final Duration SAMPLE_RETENTION = Duration.ofMinutes(1);
 
-    /** Of the remembered times per token, so many percent are shorter than the one that is reckoned with. */
+    /** The percentile of the samples' times per token that estimates use. */
     private static final int PERCENTILE = 90;
 
     private static final int PERCENT = 100;
 
-    private final Map<PoolId, Deque<First>> pools = new HashMap<>();
+    private final Map<PoolId, Deque<Sample>> samplesByPool = new HashMap<>();
 
-    private record First(Instant at, int tokens, Duration took) {}
+    private record Sample(Instant at, int tokens, Duration took) {}
 
-    /** Takes in the first event of an answer to a prompt of so many tokens. */
+    /** Records the time to first event of an answer to a prompt of so many tokens. */
     public void onFirstEvent(PoolId pool, int tokens, Duration took, Instant now) {
-        Deque<First> firsts = pools.computeIfAbsent(pool, id -> new ArrayDeque<>());
-        firsts.addLast(new First(now, tokens, took));
-        if (firsts.size() > MAX_SAMPLES) {
-            firsts.removeFirst();
+        Deque<Sample> samples = samplesByPool.computeIfAbsent(pool, id -> new ArrayDeque<>());
+        samples.addLast(new Sample(now, tokens, took));
+        if (samples.size() > MAX_SAMPLES) {
+            samples.removeFirst();
         }
     }
 
-    /** The shortest of late: what an engine without a queue takes for a short prompt. Empty if too little is known. */
+    /** The shortest recent time, as an estimate for a short prompt at an idle engine; empty without enough samples. */
     public Optional<Duration> shortest(PoolId pool, Instant now) {
-        Deque<First> firsts = known(pool, now);
-        if (firsts.size() < MIN_SAMPLES) {
+        Deque<Sample> samples = recentSamples(pool, now);
+        if (samples.size() < MIN_SAMPLES) {
             return Optional.empty();
         }
-        Duration shortest = firsts.getFirst().took();
-        for (First first : firsts) {
-            shortest = first.took().compareTo(shortest) < 0 ? first.took() : shortest;
+        Duration shortest = samples.getFirst().took();
+        for (Sample sample : samples) {
+            shortest = sample.took().compareTo(shortest) < 0 ? sample.took() : shortest;
         }
         return Optional.of(shortest);
     }
 
     /**
-     * What a prompt of so many tokens is likely to take: the shortest time of late, and for each token what most others
-     * took beyond it, waiting and parts that engines kept included. Empty if too little is known.
+     * Estimates the time to first event for a prompt of so many tokens: the shortest recent time plus a time per token, which
+     * includes queue delays and the effect of cached segments. Empty without enough samples.
      */
     public Optional<Duration> expected(PoolId pool, int tokens, Instant now) {
         Optional<Duration> shortest = shortest(pool, now);
         return shortest.map(base -> base.plusNanos(Math.round(nanosPerToken(pool, base) * tokens)));
     }
 
-    private double nanosPerToken(PoolId pool, Duration base) {
-        Deque<First> firsts = pools.get(pool);
-        double[] each = new double[firsts.size()];
+    private double nanosPerToken(PoolId pool, Duration shortest) {
+        Deque<Sample> samples = samplesByPool.get(pool);
+        double[] nanosPerToken = new double[samples.size()];
         int count = 0;
-        for (First first : firsts) {
-            each[count] = first.took().minus(base).toNanos() / (double) Math.max(1, first.tokens());
+        for (Sample sample : samples) {
+            nanosPerToken[count] = sample.took().minus(shortest).toNanos() / (double) Math.max(1, sample.tokens());
             count++;
         }
-        Arrays.sort(each);
-        return each[(count - 1) * PERCENTILE / PERCENT];
+        Arrays.sort(nanosPerToken);
+        return nanosPerToken[(count - 1) * PERCENTILE / PERCENT];
     }
 
-    private Deque<First> known(PoolId pool, Instant now) {
-        Deque<First> firsts = pools.getOrDefault(pool, new ArrayDeque<>());
-        while (!firsts.isEmpty() && now.isAfter(firsts.getFirst().at().plus(REMEMBERED_FOR))) {
-            firsts.removeFirst();
+    private Deque<Sample> recentSamples(PoolId pool, Instant now) {
+        Deque<Sample> samples = samplesByPool.getOrDefault(pool, new ArrayDeque<>());
+        while (!samples.isEmpty() && now.isAfter(samples.getFirst().at().plus(SAMPLE_RETENTION))) {
+            samples.removeFirst();
         }
-        return firsts;
+        return samples;
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/health/LatencyWindow.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/health/LatencyWindow.java
@@ -4,13 +4,13 @@
 import java.util.Arrays;
 import java.util.Optional;
 
-/** The last durations of one pool, kept in the order of their lengths so that a quantile is one look. */
+/** A sliding window of the latest durations of one pool, kept sorted so that a quantile is a single array access. */
 final class LatencyWindow {
-    /** How many durations are kept. */
+    /** The number of durations in a full window. */
     static final int SIZE = 256;
 
     private final long[] byAge = new long[SIZE];
-    private final long[] byLength = new long[SIZE];
+    private final long[] sorted = new long[SIZE];
     private int count;
     private int oldest;
 
@@ -22,24 +22,24 @@
         }
         byAge[oldest] = added;
         oldest = (oldest + 1) % SIZE;
-        int place = Arrays.binarySearch(byLength, 0, count, added);
-        int insert = place < 0 ? -place - 1 : place;
-        System.arraycopy(byLength, insert, byLength, insert + 1, count - insert);
-        byLength[insert] = added;
+        int index = Arrays.binarySearch(sorted, 0, count, added);
+        int insert = index < 0 ? -index - 1 : index;
+        System.arraycopy(sorted, insert, sorted, insert + 1, count - insert);
+        sorted[insert] = added;
         count++;
     }
 
-    private void remove(long length) {
-        int place = Arrays.binarySearch(byLength, 0, count, length);
-        System.arraycopy(byLength, place + 1, byLength, place, count - place - 1);
+    private void remove(long nanos) {
+        int index = Arrays.binarySearch(sorted, 0, count, nanos);
+        System.arraycopy(sorted, index + 1, sorted, index, count - index - 1);
         count--;
     }
 
     /**
-     * The nearest-rank quantile of the durations kept.
+     * The nearest-rank quantile of the durations in the window.
      *
      * @param quantile above 0, at most 1
-     * @return empty while there is none
+     * @return empty if the window is empty
      */
     Optional<Duration> quantile(double quantile) {
         if (count == 0) {
@@ -47,6 +47,6 @@
         }
         int rank = (int) Math.ceil(quantile * count);
         int index = Math.min(count - 1, Math.max(0, rank - 1));
-        return Optional.of(Duration.ofNanos(byLength[index]));
+        return Optional.of(Duration.ofNanos(sorted[index]));
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/health/StepDurations.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/health/StepDurations.java
@@ -10,39 +10,39 @@
 import java.util.Optional;
 import org.wagtaillug.id.RouteId;
 
-/** How long the latest orders of each step of each route took, from the order to the last result. */
+/** The latest durations of each step of each route, from the order to the last result. */
 public final class StepDurations {
-    /** Few enough to follow a burst within a second or two. */
-    private static final int MOST = 8;
+    /** Maximum number of samples kept, small enough to follow a burst within a second or two. */
+    private static final int MAX_SAMPLES = 8;
 
-    private static final int FEWEST = 4;
+    private static final int MIN_SAMPLES = 4;
 
     private final Map<Key, Deque<Duration>> latest = new HashMap<>();
 
     private record Key(RouteId route, int step) {}
 
-    /** Takes in how long a step took. */
+    /** Records the duration of a step. */
     public void onMade(RouteId route, int step, Duration took) {
         Deque<Duration> durations = latest.computeIfAbsent(new Key(route, step), key -> new ArrayDeque<>());
         durations.addLast(took);
-        if (durations.size() > MOST) {
+        if (durations.size() > MAX_SAMPLES) {
             durations.removeFirst();
         }
     }
 
-    /** Half of the latest took no longer; empty if too little is known. */
+    /** The median of the latest durations; empty without enough samples. */
     public Optional<Duration> usual(RouteId route, int step) {
         return sorted(route, step).map(durations -> durations.get((durations.size() - 1) / 2));
     }
 
-    /** None of the latest took longer; empty if too little is known. */
+    /** The longest of the latest durations; empty without enough samples. */
     public Optional<Duration> longest(RouteId route, int step) {
         return sorted(route, step).map(List::getLast);
     }
 
     private Optional<List<Duration>> sorted(RouteId route, int step) {
         Deque<Duration> durations = latest.getOrDefault(new Key(route, step), new ArrayDeque<>());
-        if (durations.size() < FEWEST) {
+        if (durations.size() < MIN_SAMPLES) {
             return Optional.empty();
         }
         List<Duration> sorted = new ArrayList<>(durations);
--- a/wagtaillug-core/src/main/java/org/wagtaillug/health/UpstreamHealth.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/health/UpstreamHealth.java
@@ -11,7 +11,7 @@
 import org.wagtaillug.membership.Vm;
 
 /**
- * What this node's own attempts have shown of each upstream.
+ * The health of each upstream as observed through this node's own attempts.
  *
  * <pre>{@code
  * health.onStarted(upstream, now);
@@ -22,180 +22,181 @@
  * }</pre>
  */
 public final class UpstreamHealth {
-    /** An attempt without progress for less than this is never given up. */
-    public static final Duration SHORTEST_STALL = Duration.ofMillis(500);
+    /** Lower bound on the time without progress after which an attempt counts as stalled. */
+    public static final Duration MIN_STALL_TIMEOUT = Duration.ofMillis(500);
 
-    /** An attempt without progress is given up after this many times the expected tail. */
+    /** An attempt counts as stalled after this many times the expected tail latency without progress. */
     public static final int STALL_FACTOR = 3;
 
     private static final double EWMA_ALPHA = 0.2;
     private static final int FAILURES_TO_SUSPEND = 2;
-    private static final Duration FIRST_SUSPENSION = Duration.ofMillis(250);
-    private static final Duration LONGEST_SUSPENSION = Duration.ofSeconds(8);
+    private static final Duration INITIAL_SUSPENSION = Duration.ofMillis(250);
+    private static final Duration MAX_SUSPENSION = Duration.ofSeconds(8);
     private static final int MAX_DOUBLINGS = 5;
 
-    private final Map<VmId, Experience> experiences = new HashMap<>();
-    private final Map<PoolId, LatencyWindow> pools = new HashMap<>();
+    private final Map<VmId, UpstreamStats> statsByUpstream = new HashMap<>();
+    private final Map<PoolId, LatencyWindow> windowsByPool = new HashMap<>();
 
-    /** What is kept of one upstream. */
-    private static final class Experience {
-        private Optional<Duration> average = Optional.empty();
+    /** The statistics of one upstream. */
+    private static final class UpstreamStats {
+        private Optional<Duration> averageDuration = Optional.empty();
         private int consecutiveFailures;
         private int inFlight;
         private Instant suspendedUntil = Instant.MIN;
         private Instant lastProgress = Instant.MIN;
     }
 
-    /** Takes in that an attempt was sent. */
+    /** Records that an attempt was sent. */
     public void onStarted(VmId upstream, Instant now) {
-        experience(upstream).inFlight++;
+        stats(upstream).inFlight++;
     }
 
-    /** Takes in that an upstream has given part of an answer. */
+    /** Records that an upstream has sent part of an answer. */
     public void onProgress(VmId upstream, Instant now) {
-        Experience experience = experience(upstream);
-        experience.lastProgress = now;
-        experience.consecutiveFailures = 0;
+        UpstreamStats stats = stats(upstream);
+        stats.lastProgress = now;
+        stats.consecutiveFailures = 0;
     }
 
     /**
-     * Takes in the end of an attempt.
+     * Records the end of an attempt.
      *
-     * @param duration from its start
-     * @param ok whether the whole answer came; false for a connection that failed or fell silent
+     * @param duration the time since its start
+     * @param ok whether the answer was complete; false for a connection that failed or stalled
      */
     public void onEnded(Vm upstream, Duration duration, boolean ok, Instant now) {
         onEnded(upstream.id(), upstream.pool(), duration, ok, now);
     }
 
     /**
-     * Takes in the end of an attempt.
+     * Records the end of an attempt.
      *
-     * @param pool whose quantiles the duration counts for; empty for none
-     * @param duration from its start
-     * @param ok whether the whole answer came; false for a connection that failed or fell silent
+     * @param pool the pool whose quantiles include the duration; empty for none
+     * @param duration the time since its start
+     * @param ok whether the answer was complete; false for a connection that failed or stalled
      */
     public void onEnded(VmId upstream, Optional<PoolId> pool, Duration duration, boolean ok, Instant now) {
-        Experience experience = experience(upstream);
-        experience.inFlight = Math.max(0, experience.inFlight - 1);
+        UpstreamStats stats = stats(upstream);
+        stats.inFlight = Math.max(0, stats.inFlight - 1);
         if (!ok) {
-            fail(experience, now);
+            recordFailure(stats, now);
             return;
         }
-        experience.consecutiveFailures = 0;
-        experience.lastProgress = now;
-        experience.suspendedUntil = Instant.MIN;
-        experience.average = Optional.of(
-                experience.average.map(before -> blend(before, duration)).orElse(duration));
-        pool.ifPresent(
-                id -> pools.computeIfAbsent(id, any -> new LatencyWindow()).add(duration));
-    }
-
-    /** Takes in the end of an attempt that says nothing of the upstream: it was given up here. */
+        stats.consecutiveFailures = 0;
+        stats.lastProgress = now;
+        stats.suspendedUntil = Instant.MIN;
+        stats.averageDuration = Optional.of(stats.averageDuration
+                .map(previous -> movingAverage(previous, duration))
+                .orElse(duration));
+        pool.ifPresent(id -> windowsByPool
+                .computeIfAbsent(id, ignored -> new LatencyWindow())
+                .add(duration));
+    }
+
+    /** Records an attempt that this node cancelled, which says nothing about the upstream's health. */
     public void onCancelled(VmId upstream) {
-        Experience experience = experience(upstream);
-        experience.inFlight = Math.max(0, experience.inFlight - 1);
+        UpstreamStats stats = stats(upstream);
+        stats.inFlight = Math.max(0, stats.inFlight - 1);
     }
 
-    private static Duration blend(Duration before, Duration newest) {
-        double nanos = before.toNanos() * (1 - EWMA_ALPHA) + newest.toNanos() * EWMA_ALPHA;
+    private static Duration movingAverage(Duration previous, Duration newest) {
+        double nanos = previous.toNanos() * (1 - EWMA_ALPHA) + newest.toNanos() * EWMA_ALPHA;
         return Duration.ofNanos(Math.round(nanos));
     }
 
-    /** One failure may be a connection that fell silent while the upstream is well; it takes two in a row to suspend. */
-    private static void fail(Experience experience, Instant now) {
-        experience.consecutiveFailures++;
-        if (experience.consecutiveFailures < FAILURES_TO_SUSPEND) {
+    /** Suspends after two failures in a row, as a single one may be a stalled connection to a healthy upstream. */
+    private static void recordFailure(UpstreamStats stats, Instant now) {
+        stats.consecutiveFailures++;
+        if (stats.consecutiveFailures < FAILURES_TO_SUSPEND) {
             return;
         }
-        int doublings = Math.min(MAX_DOUBLINGS, experience.consecutiveFailures - FAILURES_TO_SUSPEND);
-        Duration suspension = FIRST_SUSPENSION.multipliedBy(1L << doublings);
-        if (suspension.compareTo(LONGEST_SUSPENSION) > 0) {
-            suspension = LONGEST_SUSPENSION;
+        int doublings = Math.min(MAX_DOUBLINGS, stats.consecutiveFailures - FAILURES_TO_SUSPEND);
+        Duration suspension = INITIAL_SUSPENSION.multipliedBy(1L << doublings);
+        if (suspension.compareTo(MAX_SUSPENSION) > 0) {
+            suspension = MAX_SUSPENSION;
         }
-        experience.suspendedUntil = now.plus(suspension);
+        stats.suspendedUntil = now.plus(suspension);
     }
 
-    /** How long an attempt at an upstream has taken lately, the newest weighted most; empty while none has ended well. */
+    /** The moving average of the durations of successful attempts at an upstream; empty before the first. */
     public Optional<Duration> expected(VmId upstream) {
-        return Optional.ofNullable(experiences.get(upstream)).flatMap(experience -> experience.average);
+        return Optional.ofNullable(statsByUpstream.get(upstream)).flatMap(stats -> stats.averageDuration);
     }
 
     /**
-     * The quantile of the last 256 durations of a pool.
+     * A quantile of the last 256 durations of a pool.
      *
      * @param quantile above 0, at most 1
-     * @return empty while no attempt of the pool has ended well
+     * @return empty if no attempt in the pool has succeeded
      */
     public Optional<Duration> tail(PoolId pool, double quantile) {
-        return Optional.ofNullable(pools.get(pool)).flatMap(window -> window.quantile(quantile));
+        return Optional.ofNullable(windowsByPool.get(pool)).flatMap(window -> window.quantile(quantile));
     }
 
-    /** Whether new attempts may go to an upstream: it is not suspended after failures in a row. */
+    /** Whether new attempts may be sent to an upstream: it is not suspended after consecutive failures. */
     public boolean usable(VmId upstream, Instant now) {
-        Experience experience = experiences.get(upstream);
-        return experience == null || !now.isBefore(experience.suspendedUntil);
+        UpstreamStats stats = statsByUpstream.get(upstream);
+        return stats == null || !now.isBefore(stats.suspendedUntil);
     }
 
-    /** Failures since the last progress or success. */
+    /** The number of failures since the last progress or success. */
     public int consecutiveFailures(VmId upstream) {
-        Experience experience = experiences.get(upstream);
-        return experience == null ? 0 : experience.consecutiveFailures;
+        UpstreamStats stats = statsByUpstream.get(upstream);
+        return stats == null ? 0 : stats.consecutiveFailures;
     }
 
-    /** How many attempts of this node are under way at an upstream. */
+    /** The number of attempts that this node has in flight at an upstream. */
     public int inFlight(VmId upstream) {
-        Experience experience = experiences.get(upstream);
-        return experience == null ? 0 : experience.inFlight;
+        UpstreamStats stats = statsByUpstream.get(upstream);
+        return stats == null ? 0 : stats.inFlight;
     }
 
-    /** When an upstream last gave part of an answer on any connection; empty if it never has. */
+    /** When an upstream last sent part of an answer on any connection; empty if it never has. */
     public Optional<Instant> lastProgress(VmId upstream) {
-        Experience experience = experiences.get(upstream);
-        if (experience == null || experience.lastProgress.equals(Instant.MIN)) {
+        UpstreamStats stats = statsByUpstream.get(upstream);
+        if (stats == null || stats.lastProgress.equals(Instant.MIN)) {
             return Optional.empty();
         }
-        return Optional.of(experience.lastProgress);
+        return Optional.of(stats.lastProgress);
     }
 
-    /** Forgets an upstream's failures: it has started anew under its name. Attempts under way still count. */
+    /** Resets the failures and durations of an upstream that has restarted under the same id; keeps its in-flight count. */
     public void onRestarted(VmId upstream) {
-        Experience experience = experience(upstream);
-        experience.consecutiveFailures = 0;
-        experience.suspendedUntil = Instant.MIN;
-        experience.average = Optional.empty();
+        UpstreamStats stats = stats(upstream);
+        stats.consecutiveFailures = 0;
+        stats.suspendedUntil = Instant.MIN;
+        stats.averageDuration = Optional.empty();
     }
 
-    /** Forgets the upstreams that are not listed any more. */
+    /** Removes the statistics of all upstreams that are not listed any more. */
     public void retain(Set<VmId> listed) {
-        experiences.keySet().retainAll(listed);
+        statsByUpstream.keySet().retainAll(listed);
     }
 
-    private Experience experience(VmId upstream) {
-        return experiences.computeIfAbsent(upstream, id -> new Experience());
+    private UpstreamStats stats(VmId upstream) {
+        return statsByUpstream.computeIfAbsent(upstream, id -> new UpstreamStats());
     }
 
     /**
-     * Whether an attempt is to be given up for want of progress.
+     * Whether an attempt has stalled and should be abandoned.
      *
-     * <p>The failure: a connection that something between its ends has lost track of stays open and never carries another
-     * byte, so no socket error ever comes; the caller would see its deadline run out. Progress alone tells it: a live
-     * upstream gives a part of its answer within a few times what the pool's slow attempts take.
+     * <p>Detects half-open connections: if a device on the path has dropped the connection's state, the connection stays open
+     * without carrying any data or raising a socket error, and the request would run into its deadline. Only a lack of progress
+     * reveals this: a live upstream sends the next part of its answer within a few times the tail latency of the pool.
      *
      * @param startedAt when the attempt was sent
-     * @param lastProgress when a part of its answer last came; empty if none has
-     * @param expectedTail what a slow attempt takes to its next part of the answer; empty if not known, when it is never
-     *     given up
+     * @param lastProgress when the last part of its answer arrived; empty if none has
+     * @param expectedTail the tail latency to the next part of an answer; if empty, the attempt never counts as stalled
      */
     public static boolean stalled(
             Instant startedAt, Optional<Instant> lastProgress, Optional<Duration> expectedTail, Instant now) {
         if (expectedTail.isEmpty()) {
             return false;
         }
-        Duration patience = expectedTail.get().multipliedBy(STALL_FACTOR);
-        if (patience.compareTo(SHORTEST_STALL) < 0) {
-            patience = SHORTEST_STALL;
+        Duration stallTimeout = expectedTail.get().multipliedBy(STALL_FACTOR);
+        if (stallTimeout.compareTo(MIN_STALL_TIMEOUT) < 0) {
+            stallTimeout = MIN_STALL_TIMEOUT;
         }
-        return !now.isBefore(lastProgress.orElse(startedAt).plus(patience));
+        return !now.isBefore(lastProgress.orElse(startedAt).plus(stallTimeout));
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/health/package-info.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/health/package-info.java
@@ -1,2 +1,2 @@
-/** What is known of single upstreams: load reports, whether they are cold, whether they answer at all. */
+/** The health and latency of upstreams: load reports, suspension after failures, and recent durations. */
 package org.wagtaillug.health;
--- a/wagtaillug-core/src/test/java/org/wagtaillug/health/EngineTimesTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/health/EngineTimesTest.java
@@ -14,7 +14,7 @@
     private final EngineTimes times = new EngineTimes();
 
     @Test
-    void nothingIsSaidWhileLittleIsKnown() {
+    void thereIsNoEstimateWithoutEnoughSamples() {
         for (int each = 0; each < 7; each++) {
             times.onFirstEvent(POOL, 1000, Duration.ofMillis(100), START);
         }
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void whatIsLongAgoIsForgotten() {
+    void oldSamplesExpire() {
         for (int each = 0; each < 20; each++) {
             times.onFirstEvent(POOL, 1000, Duration.ofMillis(100), START);
         }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/health/UpstreamHealthTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/health/UpstreamHealthTest.java
@@ -28,12 +28,12 @@
     private final UpstreamHealth health = new UpstreamHealth();
 
     @Property(tries = 300, seed = "4712")
-    void quantileIsThatOfTheLast256(
+    void quantileCoversTheLast256Durations(
             @ForAll @Size(min = 1, max = 600) List<@IntRange(max = 50) Integer> durations,
             @ForAll @IntRange(min = 1, max = 100) int percent) {
         LatencyWindow window = new LatencyWindow();
-        for (int each : durations) {
-            window.add(Duration.ofNanos(each));
+        for (int nanos : durations) {
+            window.add(Duration.ofNanos(nanos));
         }
         List<Integer> last = new ArrayList<>(
                 durations.subList(Math.max(0, durations.size() - LatencyWindow.SIZE), durations.size()));
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void expectsTheNewestMost() {
+    void weightsTheLatestDurationMost() {
         assertThat(health.expected(ID)).isEmpty();
         health.onEnded(UPSTREAM, Duration.ofMillis(100), true, NOW);
         health.onEnded(UPSTREAM, Duration.ofMillis(200), true, NOW);
@@ -69,11 +69,11 @@
     }
 
     /**
-     * A caller's draft hangs until its deadline though the engine is well: something between has lost track of the
-     * connection, so it stays open and carries nothing. Only the want of progress shows it.
+     * Guards against requests that hang until their deadline on a half-open connection although the engine is healthy: a device
+     * on the path has dropped the connection's state, and only the lack of progress reveals it.
      */
     @Test
-    void givesUpAnAttemptWithoutProgress() {
+    void anAttemptWithoutProgressCountsAsStalled() {
         Optional<Duration> tail = Optional.of(Duration.ofMillis(400));
         assertThat(UpstreamHealth.stalled(NOW, Optional.empty(), tail, NOW.plusMillis(1199)))
                 .isFalse();
