--- a/wagtaillug-core/src/main/java/org/wagtaillug/directory/Listing.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/directory/Listing.java
@@ -6,17 +6,17 @@
 import org.wagtaillug.id.VmId;
 
 /**
- * What an upstream says of itself.
+ * The entry that an upstream registers for itself.
  *
- * @param id its name, which it may keep over a restart
- * @param incarnation the Unix millisecond of its start; 0 if it does not say
+ * @param id its id, which may stay the same across restarts
+ * @param incarnation the Unix time of its start in milliseconds; 0 if not registered
  * @param pool the pool that it serves
- * @param host where it listens
- * @param port where it listens
+ * @param host the host on which it listens
+ * @param port the port on which it listens
  * @param domain its failure domain
- * @param leaving whether it takes nothing new soon
- * @param coldFor how much longer it bears little load
- * @param version the version of its software; empty if it does not say
+ * @param leaving whether it is about to shut down and should get no new work
+ * @param coldFor how much longer it is cold and can take only little load
+ * @param version the version of its software; empty if not registered
  */
 public record Listing(
         VmId id,
--- a/wagtaillug-core/src/main/java/org/wagtaillug/directory/Upstream.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/directory/Upstream.java
@@ -6,13 +6,13 @@
 import org.wagtaillug.id.VmId;
 
 /**
- * One upstream as it is known now.
+ * The current state of an upstream.
  *
- * @param listing what it says of itself
- * @param coldUntil until when it bears little load
+ * @param listing the entry that it registered
+ * @param coldUntil until when it is cold and can take only little load
  */
 public record Upstream(Listing listing, Instant coldUntil) {
-    /** Its name. */
+    /** The upstream's id. */
     public VmId id() {
         return listing.id();
     }
@@ -22,12 +22,12 @@
         return listing.pool();
     }
 
-    /** Its failure domain. */
+    /** The upstream's failure domain. */
     public DomainId domain() {
         return listing.domain();
     }
 
-    /** Whether it bears little load. */
+    /** Whether the upstream is cold and can take only little load. */
     public boolean cold(Instant now) {
         return now.isBefore(coldUntil);
     }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/directory/UpstreamDirectory.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/directory/UpstreamDirectory.java
@@ -14,137 +14,137 @@
 import org.wagtaillug.id.PoolId;
 import org.wagtaillug.id.VmId;
 
-/** All upstreams that are listed, and which of them may get new work. */
+/** The registered upstreams, and which of them are eligible for new work. */
 public final class UpstreamDirectory {
     /**
-     * Entries lapse while their writers cannot reach the store, and are back within two seconds of its return. Dropping
-     * them at once would leave pools without a server though all of them work.
+     * Entries expire while their upstreams cannot reach the store, and reappear within two seconds of its recovery. Removing them
+     * immediately would leave pools without a server although all servers work.
      */
     private static final Duration OUTAGE_RECOVERY = Duration.ofSeconds(2);
 
     private final Map<VmId, Upstream> upstreams = new HashMap<>();
     private final Map<PoolId, TreeMap<VmId, Upstream>> byPool = new HashMap<>();
-    private final Map<VmId, Instant> lapsed = new HashMap<>();
-    private final Set<DomainId> out = new HashSet<>();
+    private final Map<VmId, Instant> pendingRemovals = new HashMap<>();
+    private final Set<DomainId> domainsOutOfService = new HashSet<>();
 
-    /** What an entry changed. */
+    /** The effect of an update on the directory. */
     public enum Change {
-        /** Nothing that matters to requests. */
+        /** No effect on requests. */
         NONE,
-        /** An upstream is new. */
+        /** A new upstream was added. */
         ADDED,
-        /** It has started anew under its name: what was known of it no longer holds. */
+        /** The upstream has restarted under the same id; earlier observations of it are obsolete. */
         RESTARTED,
-        /** It takes no new work. */
+        /** The upstream accepts no new work. */
         LEFT
     }
 
-    /** An upstream says something of itself. */
+    /** Adds or updates the entry of an upstream. */
     public Change onListing(Listing listing, Instant now) {
-        Upstream held = upstreams.get(listing.id());
+        Upstream known = upstreams.get(listing.id());
         Instant coldUntil = listing.coldFor().isZero() ? Instant.EPOCH : now.plus(listing.coldFor());
         Upstream upstream = new Upstream(listing, coldUntil);
-        if (held != null) {
-            byPool.get(held.pool()).remove(held.id());
+        if (known != null) {
+            byPool.get(known.pool()).remove(known.id());
         }
-        lapsed.remove(listing.id());
+        pendingRemovals.remove(listing.id());
         upstreams.put(listing.id(), upstream);
         byPool.computeIfAbsent(listing.pool(), pool -> new TreeMap<>()).put(listing.id(), upstream);
-        if (held == null) {
+        if (known == null) {
             return Change.ADDED;
         }
-        if (held.listing().incarnation() != listing.incarnation()) {
+        if (known.listing().incarnation() != listing.incarnation()) {
             return Change.RESTARTED;
         }
-        return listing.leaving() && !held.listing().leaving() ? Change.LEFT : Change.NONE;
+        return listing.leaving() && !known.listing().leaving() ? Change.LEFT : Change.NONE;
     }
 
     /**
-     * An upstream's entry is gone.
+     * Removes the entry of an upstream, after a delay if it is likely to reappear.
      *
-     * @param afterOutage whether the store was away shortly before, so that the entry may be back soon
+     * @param afterOutage whether the store was recently unavailable, so that the entry may reappear soon
      */
     public Change onRemoved(VmId id, boolean afterOutage, Instant now) {
         if (!upstreams.containsKey(id)) {
             return Change.NONE;
         }
         if (afterOutage) {
-            lapsed.putIfAbsent(id, now.plus(OUTAGE_RECOVERY));
+            pendingRemovals.putIfAbsent(id, now.plus(OUTAGE_RECOVERY));
             return Change.NONE;
         }
-        drop(id);
+        remove(id);
         return Change.LEFT;
     }
 
-    private void drop(VmId id) {
-        Upstream held = upstreams.remove(id);
-        lapsed.remove(id);
-        if (held != null) {
-            byPool.get(held.pool()).remove(id);
+    private void remove(VmId id) {
+        Upstream known = upstreams.remove(id);
+        pendingRemovals.remove(id);
+        if (known != null) {
+            byPool.get(known.pool()).remove(id);
         }
     }
 
-    /** Drops what has not come back after an outage; those that were dropped. */
+    /** Removes the entries that have not reappeared after an outage; returns their ids. */
     public List<VmId> onTick(Instant now) {
         List<VmId> dropped = new ArrayList<>();
-        for (Map.Entry<VmId, Instant> entry : Map.copyOf(lapsed).entrySet()) {
+        for (Map.Entry<VmId, Instant> entry : Map.copyOf(pendingRemovals).entrySet()) {
             if (!now.isBefore(entry.getValue())) {
-                drop(entry.getKey());
+                remove(entry.getKey());
                 dropped.add(entry.getKey());
             }
         }
         return dropped;
     }
 
-    /** A connection to an upstream failed: until it says otherwise it may have started anew, and be cold. */
+    /** Treats an upstream as cold after a failed connection, since it may have restarted, until its next listing. */
     public void onFault(VmId id, Instant coldUntil) {
-        Upstream held = upstreams.get(id);
-        if (held != null && coldUntil.isAfter(held.coldUntil())) {
-            Upstream colder = new Upstream(held.listing(), coldUntil);
-            upstreams.put(id, colder);
-            byPool.get(held.pool()).put(id, colder);
+        Upstream known = upstreams.get(id);
+        if (known != null && coldUntil.isAfter(known.coldUntil())) {
+            Upstream updated = new Upstream(known.listing(), coldUntil);
+            upstreams.put(id, updated);
+            byPool.get(known.pool()).put(id, updated);
         }
     }
 
-    /** Operators take a failure domain out of service or bring it back. */
-    public void onDomain(DomainId domain, boolean isOut) {
-        if (isOut) {
-            out.add(domain);
+    /** Takes a failure domain out of service or puts it back into service. */
+    public void onDomain(DomainId domain, boolean outOfService) {
+        if (outOfService) {
+            domainsOutOfService.add(domain);
         } else {
-            out.remove(domain);
+            domainsOutOfService.remove(domain);
         }
     }
 
-    /** The upstreams of a pool that may get new work, in the order of their names. */
+    /** The upstreams of a pool that are eligible for new work, in the order of their ids. */
     public List<Upstream> usable(PoolId pool) {
         List<Upstream> usable = new ArrayList<>();
         for (Upstream upstream : byPool.getOrDefault(pool, new TreeMap<>()).values()) {
-            if (!upstream.listing().leaving() && !out.contains(upstream.domain())) {
+            if (!upstream.listing().leaving() && !domainsOutOfService.contains(upstream.domain())) {
                 usable.add(upstream);
             }
         }
         return usable;
     }
 
-    /** The upstreams of a pool that may get new work and have a version that a rule allows, in the order of their names. */
+    /** The upstreams of a pool that are eligible for new work and whose version a rule allows, in the order of their ids. */
     public List<Upstream> usable(PoolId pool, VersionRule versions) {
         List<Upstream> usable = usable(pool);
         usable.removeIf(upstream -> !versions.allows(upstream.listing().version()));
         return usable;
     }
 
-    /** Whether an upstream may get new work. */
+    /** Whether an upstream is eligible for new work. */
     public boolean usable(VmId id) {
-        Upstream held = upstreams.get(id);
-        return held != null && !held.listing().leaving() && !out.contains(held.domain());
+        Upstream known = upstreams.get(id);
+        return known != null && !known.listing().leaving() && !domainsOutOfService.contains(known.domain());
     }
 
-    /** One upstream, if it is listed. */
+    /** The upstream with an id; empty if it is not listed. */
     public Optional<Upstream> find(VmId id) {
         return Optional.ofNullable(upstreams.get(id));
     }
 
-    /** How many are listed. */
+    /** The number of listed upstreams. */
     public int size() {
         return upstreams.size();
     }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/directory/VersionRule.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/directory/VersionRule.java
@@ -2,31 +2,31 @@
 
 import java.util.Set;
 
-/** Which versions of a pool's upstreams a request may go to. */
+/** Restricts a request to upstreams of certain versions. */
 public sealed interface VersionRule {
-    /** No version is excluded. */
+    /** Allows every version. */
     VersionRule ANY = new Except(Set.of());
 
     /**
-     * One version.
+     * Allows a single version.
      *
-     * @param version which
+     * @param version the allowed version
      */
     record Only(String version) implements VersionRule {}
 
     /**
-     * All but some versions.
+     * Allows all versions except some.
      *
-     * @param versions those that get nothing
+     * @param versions the excluded versions
      */
     record Except(Set<String> versions) implements VersionRule {
-        /** Copies the set. */
+        /** Makes a defensive copy of the set. */
         public Except {
             versions = Set.copyOf(versions);
         }
     }
 
-    /** Whether upstreams of a version may be used. */
+    /** Whether a request may be sent to upstreams of a version. */
     default boolean allows(String version) {
         return switch (this) {
             case Only only -> only.version().equals(version);
--- a/wagtaillug-core/src/main/java/org/wagtaillug/directory/package-info.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/directory/package-info.java
@@ -1,2 +1,2 @@
-/** The upstreams that may be used: what each says of itself, and what operators say of its failure domain. */
+/** The directory of upstreams: their registered entries, and the failure domains that operators took out of service. */
 package org.wagtaillug.directory;
--- a/wagtaillug-core/src/test/java/org/wagtaillug/directory/UpstreamDirectoryTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/directory/UpstreamDirectoryTest.java
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void aDomainThatIsOutHasNoUsableUpstreamUntilItIsBack() {
+    void aDomainOutOfServiceHasNoUsableUpstreams() {
         directory.onListing(listing(1, false), NOW);
         directory.onDomain(NORTH, true);
         assertThat(directory.usable(POOL)).isEmpty();
@@ -31,9 +31,9 @@
     }
 
     @Test
-    void anEntryThatLapsesWithTheStoreStaysForTwoSeconds() {
-        // The store was away, and with it the entries of all servers lapsed. Dropped at once, every pool would be empty
-        // though all servers work; kept for good, one that died meanwhile would get requests for ever.
+    void anEntryThatExpiresInAStoreOutageIsKeptForTwoSeconds() {
+        // The entries of all servers expired during an outage of the store. Removing them immediately would empty every
+        // pool although all servers work; keeping them forever would route requests to servers that died meanwhile.
         directory.onListing(listing(1, false), NOW);
         directory.onRemoved(ID, true, NOW);
         assertThat(directory.usable(POOL)).hasSize(1);
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void anEntryThatIsBackAfterAnOutageIsNotDropped() {
+    void anEntryThatReappearsAfterAnOutageIsNotRemoved() {
         directory.onListing(listing(1, false), NOW);
         directory.onRemoved(ID, true, NOW);
         directory.onListing(listing(1, false), NOW.plusSeconds(1));
@@ -51,21 +51,21 @@
     }
 
     @Test
-    void aRemovalWithoutAnOutageHoldsAtOnce() {
+    void aRemovalWithoutAnOutageTakesEffectImmediately() {
         directory.onListing(listing(1, false), NOW);
         assertThat(directory.onRemoved(ID, false, NOW)).isEqualTo(UpstreamDirectory.Change.LEFT);
         assertThat(directory.usable(ID)).isFalse();
     }
 
     @Test
-    void aNewIncarnationUnderTheSameNameIsNoticed() {
+    void aNewIncarnationUnderTheSameIdIsReportedAsARestart() {
         directory.onListing(listing(1, false), NOW);
         assertThat(directory.onListing(listing(2, false), NOW)).isEqualTo(UpstreamDirectory.Change.RESTARTED);
         assertThat(directory.onListing(listing(2, true), NOW)).isEqualTo(UpstreamDirectory.Change.LEFT);
     }
 
     @Test
-    void afterAFaultAnUpstreamCountsAsColdUntilItSaysOtherwise() {
+    void afterAConnectionFailureAnUpstreamIsColdUntilItsNextListing() {
         directory.onListing(listing(1, false), NOW);
         directory.onFault(ID, NOW.plusSeconds(2));
         assertThat(directory.find(ID).orElseThrow().cold(NOW.plusSeconds(1))).isTrue();
