--- a/wagtaillug-core/src/main/java/org/wagtaillug/policy/PolicyFeature.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/policy/PolicyFeature.java
@@ -1,38 +1,38 @@
 package org.wagtaillug.policy;
 
 /**
- * A way of deciding that should serve callers better than the plain way. None of them guards a promise: without it nodes
- * serve fewer requests in time, and nothing runs twice or where it must not.
+ * A scheduling or routing optimization that can be switched off. No correctness guarantee depends on one: without it, nodes
+ * serve fewer requests in time, but nothing runs twice or at an upstream where it must not run.
  */
 public enum PolicyFeature {
-    /** One node fills the calls of a pool for all; without it each node fills its own. */
+    /** One node schedules the batched calls of a pool for all nodes; if off, each node schedules its own. */
     SHARED_FILLING,
-    /** Pieces go by rank and aim, those in time first; without it in the order of their arrival. */
+    /** Pieces are served by rank and latency target, those that can meet it first; if off, in order of arrival. */
     URGENCY_ORDER,
-    /** A result without room keeps only what is as large from its server; without it the server gets nothing for a while. */
+    /** A server without capacity for a result still gets pieces with smaller results; if off, it gets none for a while. */
     ROOM_BY_SIZE,
-    /** Work goes to servers near its inputs. */
+    /** Work is preferably sent to servers near its inputs. */
     NEARNESS,
-    /** Prompts go to engines that are likely to keep their parts; without it to the one with the least to do. */
+    /** Prompts are routed to engines that are likely to have their segments cached; if off, to the least loaded engine. */
     PROMPT_HOMES,
-    /** The more of the load shares a part, the more engines are its homes; without it a fixed share of them. */
+    /** The number of a segment's home engines follows its share of the load; if off, it is a fixed share of the engines. */
     HOMES_BY_DEMAND,
-    /** A node remembers where it has sent parts lately. */
+    /** A node takes into account to which engines it has recently sent segments. */
     SENT_PARTS,
-    /** Orders whose wait would make them late are refused when they come. */
+    /** Orders whose queue delay would make them late are refused on arrival. */
     EARLY_REFUSAL,
-    /** The expected wait of an order counts what calls hold of late, and what goes before it; without it full calls. */
+    /** Queue delays are estimated from recent fill ratios and the arrivals of lower ranks; if off, from full calls alone. */
     OBSERVED_WAIT,
-    /** A request is refused when it comes if the waits for all of its steps together would make it late. */
+    /** A request is refused on arrival if the queue delays of all its steps together would make it late. */
     WHOLE_WAY_REFUSAL,
-    /** Plain requests go to the server that is likely to be done first; without it to the one with the fewest. */
+    /** Plain requests go to the server with the earliest expected completion; if off, to the one with the fewest in flight. */
     LATENCY_CHOICE,
-    /** Inputs are released when their engine has had time to fetch them; without it at its first event. */
+    /** Inputs are released once the engine has had time to fetch them; if off, at its first event. */
     EARLY_RELEASE,
-    /** Inputs of streams that may go on elsewhere are released as those of others; without it at the stream's end. */
+    /** Inputs of resumable streams are released like those of other requests; if off, at the end of the stream. */
     RELEASE_OF_RESUMABLE,
-    /** A branch of steps starts when it is needed for the join; without it at once. */
+    /** A branch of steps starts just in time for the join; if off, immediately. */
     TIMELY_BRANCHES,
-    /** The aim of a step reckons with what engines take of late; without it with a fixed pace. */
+    /** The latency target of a step is derived from recent engine times; if off, from a fixed speed. */
     OBSERVED_ENGINES
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/policy/PolicyFeatures.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/policy/PolicyFeatures.java
@@ -5,28 +5,28 @@
 import java.util.Set;
 
 /**
- * The features that a node uses. Immutable.
+ * The policy features that a node uses. Immutable.
  *
- * @param off those that it does without
+ * @param off the features that are switched off
  */
 public record PolicyFeatures(Set<PolicyFeature> off) {
-    /** What a node uses unless it is told otherwise. */
+    /** The default: all features. */
     public static final PolicyFeatures ALL = new PolicyFeatures(Set.of());
 
-    /** Copies the set. */
+    /** Makes a defensive copy of the set. */
     public PolicyFeatures {
         off = Set.copyOf(off);
     }
 
-    /** All but some. */
-    public static PolicyFeatures without(Collection<PolicyFeature> some) {
+    /** All features except some. */
+    public static PolicyFeatures without(Collection<PolicyFeature> excluded) {
         Set<PolicyFeature> off = EnumSet.noneOf(PolicyFeature.class);
-        off.addAll(some);
+        off.addAll(excluded);
         return new PolicyFeatures(off);
     }
 
-    /** Whether a mechanism is in use. */
-    public boolean uses(PolicyFeature mechanism) {
-        return !off.contains(mechanism);
+    /** Whether a feature is in use. */
+    public boolean uses(PolicyFeature feature) {
+        return !off.contains(feature);
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/policy/package-info.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/policy/package-info.java
@@ -1,2 +1,2 @@
-/** The ways of deciding that a node may be told to do without, so that what each gains can be measured. */
+/** Policy features that can be switched off on a node, so that the effect of each can be measured. */
 package org.wagtaillug.policy;
--- a/wagtaillug-core/src/main/java/org/wagtaillug/route/Customer.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/route/Customer.java
@@ -4,9 +4,9 @@
 import org.wagtaillug.id.CustomerId;
 
 /**
- * Who a caller's key belongs to.
+ * The customer that owns a caller's key.
  *
- * @param id the customer
- * @param rank goes before a route's rank, 0 first; empty if the routes' ranks hold
+ * @param id the customer's id
+ * @param rank the priority class that overrides the routes' ranks, 0 is served first; empty if the routes' ranks apply
  */
 public record Customer(CustomerId id, OptionalInt rank) {}
--- a/wagtaillug-core/src/main/java/org/wagtaillug/route/PoolProfile.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/route/PoolProfile.java
@@ -4,12 +4,12 @@
 import org.wagtaillug.id.PoolId;
 
 /**
- * What the servers of one pool bear.
+ * The capacity of the servers of one pool.
  *
- * @param id which pool
- * @param connections the most connections that one server accepts from all nodes together
- * @param coldPerSecond the requests a second that a cold server bears; 0 if its servers are never cold
- * @param pieces how its servers work on pieces; empty if they take none
+ * @param id the pool
+ * @param connections the maximum number of connections that one server accepts from all nodes together
+ * @param coldPerSecond the requests per second that a cold server can handle; 0 if its servers are never cold
+ * @param pieces the capacity of its servers for pieces; empty if they do not process pieces
  * @param engine whether its servers are model engines
  */
 public record PoolProfile(
--- a/wagtaillug-core/src/main/java/org/wagtaillug/route/Route.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/route/Route.java
@@ -8,7 +8,7 @@
 import org.wagtaillug.id.RouteId;
 
 /**
- * Where requests of one host and path prefix go, and what is owed to them. Immutable.
+ * The pools, steps, limits and latency target for the requests of one host and path prefix. Immutable.
  *
  * <pre>{@code
  * Route route = Route.builder(new RouteId("lookup"), RouteKind.IDEMPOTENT)
@@ -34,10 +34,10 @@
     private final boolean resumable;
 
     /**
-     * A pool and its share of the requests.
+     * A pool and its weight in the distribution of requests.
      *
-     * @param pool which
-     * @param weight its share is this over the sum of all weights of the route
+     * @param pool the pool
+     * @param weight its share of the requests is this weight divided by the sum of the route's weights
      */
     public record WeightedPool(PoolId pool, int weight) {}
 
@@ -57,104 +57,104 @@
         resumable = builder.resumable;
     }
 
-    /** Starts a route without a place and without pools. */
+    /** Creates a builder for a route, without a host, a path prefix or pools. */
     public static Builder builder(RouteId id, RouteKind kind) {
         return new Builder(id, kind);
     }
 
-    /** Its name. */
+    /** The route's id. */
     public RouteId id() {
         return id;
     }
 
-    /** What may be repeated. */
+    /** Whether requests may run more than once, and how they are answered. */
     public RouteKind kind() {
         return kind;
     }
 
-    /** The host that callers name, without a port. */
+    /** The host of the requests, without a port. */
     public String host() {
         return host;
     }
 
-    /** Begins and ends with a slash. */
+    /** The prefix of the requests' paths, which begins and ends with a slash. */
     public String pathPrefix() {
         return pathPrefix;
     }
 
-    /** The steps before the request, by number. */
+    /** The steps that precede the request, by number. */
     public List<Step> steps() {
         return steps;
     }
 
-    /** The longest time that a caller is kept waiting. */
+    /** The maximum time until a request is answered. */
     public Duration timeout() {
         return timeout;
     }
 
-    /** The time within which an answer, or the first event of a stream, earns its full worth. */
+    /** The latency target: the time within which an answer, or the first event of a stream, earns its full worth. */
     public Duration aim() {
         return aim;
     }
 
-    /** A caller leaves a stream that has not begun by then; the timeout for what is not a stream. */
+    /** How long a caller waits for the first event of a stream before it disconnects; at most the timeout. */
     public Duration firstEventWithin() {
         return firstEventWithin;
     }
 
-    /** 0 goes first. */
+    /** The priority class; 0 is served first. */
     public int rank() {
         return rank;
     }
 
-    /** To how many servers one request may be sent. */
+    /** The maximum number of servers to which one request may be sent. */
     public int attempts() {
         return attempts;
     }
 
-    /** Whether callers need no key. */
+    /** Whether callers need no API key. */
     public boolean open() {
         return open;
     }
 
-    /** Whether a broken stream may go on at another server after the last event that the caller has. */
+    /** Whether an interrupted stream may be resumed at another server after the last event that the caller received. */
     public boolean resumable() {
         return resumable;
     }
 
-    /** Whether a request may be sent again after an attempt of which nobody knows whether it ran. */
+    /** Whether a request may be retried after an attempt of which it is unknown whether it ran. */
     public boolean repeatable() {
         return kind == RouteKind.IDEMPOTENT || (kind == RouteKind.STREAM && resumable);
     }
 
-    /** The pool of one request: the same on every node, so that a repeat of the request does not change sides. */
+    /** The pool for a request, which is the same on every node, so that a retry does not switch pools. */
     public PoolId poolOf(RequestId request) {
-        int total = 0;
-        for (WeightedPool each : pools) {
-            total += each.weight();
+        int totalWeight = 0;
+        for (WeightedPool weighted : pools) {
+            totalWeight += weighted.weight();
         }
-        int place = total == 0 ? 0 : Math.floorMod(request.value().hashCode() * SPREAD, total);
-        for (WeightedPool each : pools) {
-            place -= each.weight();
-            if (place < 0) {
-                return each.pool();
+        int position = totalWeight == 0 ? 0 : Math.floorMod(request.value().hashCode() * HASH_MULTIPLIER, totalWeight);
+        for (WeightedPool weighted : pools) {
+            position -= weighted.weight();
+            if (position < 0) {
+                return weighted.pool();
             }
         }
         return pools.getLast().pool();
     }
 
-    /** Odd, so that ids that differ in their last character only do not fall on neighbouring places. */
-    private static final int SPREAD = 0x9E3779B1;
+    /** Odd multiplier, so that ids that differ only in their last character are not mapped to adjacent positions. */
+    private static final int HASH_MULTIPLIER = 0x9E3779B1;
 
-    /** All pools that its requests go to. */
+    /** The pools to which requests are distributed, with their weights. */
     public List<WeightedPool> pools() {
         return pools;
     }
 
-    /** Collects the parts of a {@link Route}. */
+    /** A builder for {@link Route}. */
     public static final class Builder {
         private static final Duration DEFAULT_TIMEOUT = Duration.ofSeconds(10);
-        private static final Duration LONGEST = Duration.ofDays(1);
+        private static final Duration UNLIMITED = Duration.ofDays(1);
 
         private final RouteId id;
         private final RouteKind kind;
@@ -164,7 +164,7 @@
         private String pathPrefix = "/";
         private Duration timeout = DEFAULT_TIMEOUT;
         private Duration aim = DEFAULT_TIMEOUT;
-        private Duration firstEventWithin = LONGEST;
+        private Duration firstEventWithin = UNLIMITED;
         private int rank;
         private int attempts = 1;
         private boolean open;
@@ -194,55 +194,55 @@
             return this;
         }
 
-        /** Sets the longest wait and the aim. */
+        /** Sets the timeout and the latency target. */
         public Builder times(Duration newTimeout, Duration newAim) {
             timeout = newTimeout;
             aim = newAim;
             return this;
         }
 
-        /** Sets how long a caller waits for the first event of a stream. */
-        public Builder firstEventWithin(Duration patience) {
-            firstEventWithin = patience;
+        /** Sets how long a caller waits for the first event of a stream before it disconnects. */
+        public Builder firstEventWithin(Duration newFirstEventWithin) {
+            firstEventWithin = newFirstEventWithin;
             return this;
         }
 
-        /** Sets the rank, 0 first. */
+        /** Sets the priority class; 0 is served first. */
         public Builder rank(int newRank) {
             rank = newRank;
             return this;
         }
 
-        /** Sets to how many servers one request may be sent. */
-        public Builder attempts(int most) {
-            attempts = most;
+        /** Sets the maximum number of servers to which one request may be sent. */
+        public Builder attempts(int newAttempts) {
+            attempts = newAttempts;
             return this;
         }
 
-        /** Sets whether callers need no key. */
-        public Builder open(boolean without) {
-            open = without;
+        /** Sets whether callers need no API key. */
+        public Builder open(boolean newOpen) {
+            open = newOpen;
             return this;
         }
 
-        /** Sets whether streams may be resumed. */
-        public Builder resumable(boolean may) {
-            resumable = may;
+        /** Sets whether interrupted streams may be resumed at another server. */
+        public Builder resumable(boolean newResumable) {
+            resumable = newResumable;
             return this;
         }
 
         /**
-         * Makes the route.
+         * Creates the route.
          *
-         * @throws IllegalArgumentException if it has no pool, or a prefix without a slash at both ends
+         * @throws IllegalArgumentException if it has no pool, or a path prefix that does not begin and end with a slash
          */
         public Route build() {
             if (pools.isEmpty()) {
-                throw new IllegalArgumentException("route " + id + " has no pool; expected one at least");
+                throw new IllegalArgumentException("route " + id + " has no pool; expected at least one");
             }
             if (!pathPrefix.startsWith("/") || !pathPrefix.endsWith("/")) {
-                throw new IllegalArgumentException(
-                        "route " + id + " has the prefix \"" + pathPrefix + "\"; expected a slash at both ends");
+                throw new IllegalArgumentException("route " + id + " has the path prefix \"" + pathPrefix
+                        + "\"; expected it to begin and end with \"/\"");
             }
             return new Route(this);
         }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/route/RouteKind.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/route/RouteKind.java
@@ -1,11 +1,11 @@
 package org.wagtaillug.route;
 
-/** What may be repeated of the requests of a route. */
+/** The execution semantics of the requests of a route. */
 public enum RouteKind {
-    /** May run more than once. */
+    /** Requests are idempotent and may run more than once. */
     IDEMPOTENT,
-    /** May run at most once for each request. */
+    /** Each request may run at most once. */
     ONCE,
-    /** Answers with a series of events; may run once only, unless the route says that it may be resumed. */
+    /** Requests are answered with a stream of events, and may run only once unless the route is resumable. */
     STREAM
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/route/RouteTable.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/route/RouteTable.java
@@ -8,24 +8,25 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Finds the route of a request: of the routes of its host the one with the longest prefix of its path. */
+/** Finds the route of a request by its host and the longest matching path prefix. */
 public final class RouteTable {
     private final Map<String, List<Route>> byHost = new HashMap<>();
 
-    /** A table of the given routes. */
+    /** Creates a table of the given routes. */
     public RouteTable(List<Route> routes) {
         for (Route route : routes) {
-            byHost.computeIfAbsent(key(route.host()), host -> new ArrayList<>()).add(route);
+            byHost.computeIfAbsent(normalized(route.host()), host -> new ArrayList<>())
+                    .add(route);
         }
         Comparator<Route> longestFirst = Comparator.comparingInt(
                         (Route route) -> route.pathPrefix().length())
                 .reversed();
-        byHost.values().forEach(list -> list.sort(longestFirst));
+        byHost.values().forEach(hostRoutes -> hostRoutes.sort(longestFirst));
     }
 
     /** The route for a host, with or without a port, and a path; empty if none matches. */
     public Optional<Route> find(String host, String path) {
-        for (Route route : byHost.getOrDefault(key(withoutPort(host)), List.of())) {
+        for (Route route : byHost.getOrDefault(normalized(withoutPort(host)), List.of())) {
             if (path.startsWith(route.pathPrefix())) {
                 return Optional.of(route);
             }
@@ -33,12 +34,12 @@
         return Optional.empty();
     }
 
-    /** How many routes there are. */
+    /** The number of routes. */
     public int size() {
         return byHost.values().stream().mapToInt(List::size).sum();
     }
 
-    private static String key(String host) {
+    private static String normalized(String host) {
         return host.toLowerCase(Locale.ROOT);
     }
 
--- a/wagtaillug-core/src/main/java/org/wagtaillug/route/ServingConfiguration.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/route/ServingConfiguration.java
@@ -8,13 +8,13 @@
 import org.wagtaillug.id.PoolId;
 
 /**
- * One whole version of the configuration.
+ * A complete version of the configuration.
  *
- * @param version as the operator numbers it; rises in uneven steps
+ * @param version the operator's version number, which increases but not necessarily by 1
  * @param routes the routes
- * @param pools the pools by name
- * @param limits what callers may send
- * @param customers who each caller's key belongs to; empty if no keys are asked for
+ * @param pools the pools by id
+ * @param limits the limits for callers
+ * @param customers the customers by API key; empty if callers need no key
  */
 public record ServingConfiguration(
         long version,
@@ -22,18 +22,18 @@
         Map<PoolId, PoolProfile> pools,
         CallerLimits limits,
         Map<String, Customer> customers) {
-    /** Copies the maps. */
+    /** Makes defensive copies of the maps. */
     public ServingConfiguration {
         pools = Map.copyOf(pools);
         customers = Map.copyOf(customers);
     }
 
-    /** What the servers of a pool bear; empty if the configuration does not name it. */
+    /** The profile of a pool; empty if the configuration does not contain the pool. */
     public Optional<PoolProfile> pool(PoolId id) {
         return Optional.ofNullable(pools.get(id));
     }
 
-    /** The pools whose calls are scheduled in batches, in the order of their names. */
+    /** The pools whose calls are scheduled in batches, in the order of their ids. */
     public List<PoolId> scheduledPools() {
         List<PoolId> scheduled = new ArrayList<>();
         for (PoolProfile pool : pools.values()) {
--- a/wagtaillug-core/src/main/java/org/wagtaillug/route/Step.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/route/Step.java
@@ -4,15 +4,15 @@
 import org.wagtaillug.id.PoolId;
 
 /**
- * Work that has to be done before a request of a route can run.
+ * A step that has to be completed before a request of a route can run.
  *
- * @param number from 0, its place in the route
- * @param pool whose servers do it
- * @param after the numbers of the steps whose results it takes
- * @param resultBytes about how large the result of one piece is
+ * @param number its position in the route, from 0
+ * @param pool the pool whose servers execute it
+ * @param after the numbers of the steps whose results are its inputs
+ * @param resultBytes the approximate size of the result of one piece
  */
 public record Step(int number, PoolId pool, List<Integer> after, long resultBytes) {
-    /** Copies the list. */
+    /** Makes a defensive copy of the list. */
     public Step {
         after = List.copyOf(after);
     }
