--- a/wagtaillug-core/src/main/java/org/wagtaillug/admission/Admission.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/admission/Admission.java
@@ -9,12 +9,12 @@
 /**
  * Limits the requests in flight, by customer.
  *
- * <p>While less than {@link #PRESSURE} of the capacity is in use, every request is admitted. Above it, a customer that
+ * <p>While less than {@link #PRESSURE_THRESHOLD} of the capacity is in use, every request is admitted. Above it, a customer that
  * exceeds its share of the capacity is refused, so that a burst of one large customer does not starve the small ones.
  */
 public final class Admission {
     /** The fraction of the capacity in use above which customers are limited to their shares. */
-    public static final double PRESSURE = 0.5;
+    public static final double PRESSURE_THRESHOLD = 0.5;
 
     private final int capacity;
     private final Map<CustomerId, Usage> usages = new HashMap<>();
@@ -45,7 +45,7 @@
      * @param share the customer's share, above 0
      */
     public Option<ResultCode> obstacle(CustomerId customer, double share) {
-        if (total < capacity * PRESSURE) {
+        if (total < capacity * PRESSURE_THRESHOLD) {
             return Option.none();
         }
         if (inFlight(customer) + 1 > guaranteedCapacity(customer, share)) {
