--- a/wagtaillug-core/src/test/java/org/wagtaillug/batch/BatchSchedulerRandomTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/batch/BatchSchedulerRandomTest.java
@@ -138,7 +138,8 @@
                 boolean free = activeCalls.get(id) < contract.slots();
                 boolean fits = usedBytes.get(id) + pieceBytes <= contract.roomBytes();
                 assertThat(free && fits)
-                        .describedAs("server %s is idle at %s while %d pieces are queued", id, now, scheduler.waiting(POOL))
+                        .describedAs(
+                                "server %s is idle at %s while %d pieces are queued", id, now, scheduler.waiting(POOL))
                         .isFalse();
             }
         }
