--- a/wagtaillug-core/src/main/java/org/wagtaillug/routing/UpstreamChooser.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/routing/UpstreamChooser.java
@@ -134,7 +134,7 @@
     }
 
     /** Estimates how many tokens of a prompt an upstream has cached from earlier requests. */
-    public long kept(Upstream upstream, Prompt prompt, Instant now) {
+    public long cachedTokens(Upstream upstream, Prompt prompt, Instant now) {
         long sharedTokens = 0;
         for (PrefixSegment segment : prompt.segments()) {
             sharedTokens += segment.tokens();
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/RequestFlows.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/RequestFlows.java
@@ -359,7 +359,7 @@
         flow.startAttempt(upstream, lastAttempt, now);
         health.onStarted(upstream.id(), now);
         warmupLimiter.onSent(upstream.id(), now);
-        long keptTokens = chooser.kept(upstream, prompt, now);
+        long keptTokens = chooser.cachedTokens(upstream, prompt, now);
         chooser.onSent(upstream.id(), prompt, now);
         boolean stream = flow.route().kind() == RouteKind.STREAM;
         effects.accept(new ServingEffect.Send(new SendOrder(
--- a/wagtaillug-core/src/test/java/org/wagtaillug/routing/PrefixPlacementTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/routing/PrefixPlacementTest.java
@@ -126,7 +126,7 @@
         assertThat(second).isNotEqualTo(home);
         assertThat(send(0, prompt("manual"))).isEqualTo(second);
         node.onRestarted(second);
-        assertThat(node.kept(directory.find(second).orElseThrow(), prompt("manual"), now))
+        assertThat(node.cachedTokens(directory.find(second).orElseThrow(), prompt("manual"), now))
                 .isZero();
     }
 }
