--- a/wagtaillug-core/src/main/java/org/wagtaillug/routing/UpstreamChooser.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/routing/UpstreamChooser.java
@@ -157,7 +157,7 @@
     }
 
     /** Records that an upstream has read a prompt of so many tokens, or will not read it any more. */
-    public void onRead(VmId upstream, int tokens) {
+    public void onPromptRead(VmId upstream, int tokens) {
         queuedPromptTokens.computeIfPresent(upstream, (id, before) -> before > tokens ? before - tokens : null);
     }
 
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/RequestFlows.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/RequestFlows.java
@@ -406,7 +406,7 @@
         if (flow.finishReading()) {
             flow.target()
                     .ifPresent(upstream ->
-                            chooser.onRead(upstream.id(), flow.request().promptTokens()));
+                            chooser.onPromptRead(upstream.id(), flow.request().promptTokens()));
         }
     }
 
--- a/wagtaillug-core/src/test/java/org/wagtaillug/routing/PrefixLoadTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/routing/PrefixLoadTest.java
@@ -140,7 +140,7 @@
         Upstream chosen = chooser.choose(ENGINES, Set.of(), prompt, now).orElseThrow();
         chooser.onSent(chosen.id(), prompt, now);
         healths.get(node).onStarted(chosen.id(), now);
-        events.add(new Event(now.plus(READING_TIME), () -> chooser.onRead(chosen.id(), tokens)));
+        events.add(new Event(now.plus(READING_TIME), () -> chooser.onPromptRead(chosen.id(), tokens)));
         events.add(new Event(now.plus(kind.runTime()), () -> healths.get(node).onCancelled(chosen.id())));
         long requestTokensRead = kind.uniqueTokens();
         for (PrefixSegment segment : segments) {
--- a/wagtaillug-core/src/test/java/org/wagtaillug/routing/PrefixPlacementTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/routing/PrefixPlacementTest.java
@@ -67,7 +67,7 @@
         VmId engine =
                 chooser.choose(ENGINES, Set.of(), prompt, now).orElseThrow().id();
         chooser.onSent(engine, prompt, now);
-        chooser.onRead(engine, prompt.tokens());
+        chooser.onPromptRead(engine, prompt.tokens());
         return engine;
     }
 
--- a/wagtaillug-core/src/test/java/org/wagtaillug/routing/UpstreamChooserTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/routing/UpstreamChooserTest.java
@@ -75,7 +75,7 @@
         VmId first = choose(prompt("session-1"));
         chooser.onSent(first, prompt("session-1"), NOW);
         assertThat(choose(prompt("session-1"))).isNotEqualTo(first);
-        chooser.onRead(first, 9000);
+        chooser.onPromptRead(first, 9000);
         assertThat(choose(prompt("session-1"))).isEqualTo(first);
     }
 
