--- a/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchScheduler.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchScheduler.java
@@ -217,7 +217,7 @@
      *
      * @return whether the order was removed
      */
-    public boolean giveBack(OrderId id) {
+    public boolean withdrawIfUnstarted(OrderId id) {
         OrderState state = orders.get(id);
         if (state == null || !queues.get(state.order().pool()).containsAllPiecesOf(state)) {
             return false;
