--- a/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchScheduler.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchScheduler.java
@@ -517,7 +517,7 @@
     }
 
     /** Makes the next tick send all pending releases, regardless of the flush interval. */
-    public void releaseAtOnce() {
+    public void flushReleases() {
         nextReleaseAt = Instant.EPOCH;
     }
 
