--- a/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/Dispatcher.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/Dispatcher.java
@@ -295,7 +295,7 @@
             fail(flow, ResultCode.OUTCOME_UNKNOWN, message, now, effects);
             return;
         }
-        int most = flow.idempotent() ? policy.mostAttempts(flow.stage()) : UNSENT_ATTEMPTS;
+        int most = flow.idempotent() ? policy.maxAttempts(flow.stage()) : UNSENT_ATTEMPTS;
         if (flow.attemptsOfStage() >= most) {
             fail(flow, ResultCode.ATTEMPTS_FAILED, flow.lastFailure(), now, effects);
             return;
@@ -583,7 +583,7 @@
                 || !flows.containsKey(flow.request().id())) {
             return;
         }
-        if (flow.attemptsOfStage() >= policy.mostAttempts(stage) || mayBeCut(flow, now)) {
+        if (flow.attemptsOfStage() >= policy.maxAttempts(stage) || mayBeCut(flow, now)) {
             return;
         }
         boolean streams = stage.work() == StageWork.GENERATE;
--- a/wagtaillug-core/src/main/java/org/wagtaillug/routing/LeastCompletionPolicy.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/routing/LeastCompletionPolicy.java
@@ -147,7 +147,7 @@
     }
 
     @Override
-    public int mostAttempts(Stage stage) {
+    public int maxAttempts(Stage stage) {
         return stage.attempts();
     }
 
--- a/wagtaillug-core/src/main/java/org/wagtaillug/routing/RoundRobinPolicy.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/routing/RoundRobinPolicy.java
@@ -34,7 +34,7 @@
     }
 
     @Override
-    public int mostAttempts(Stage stage) {
+    public int maxAttempts(Stage stage) {
         return MAX_ATTEMPTS;
     }
 
--- a/wagtaillug-core/src/main/java/org/wagtaillug/routing/RoutingPolicy.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/routing/RoutingPolicy.java
@@ -18,7 +18,7 @@
     Choice choose(Stage stage, String prefix, Set<VmId> excluded, Instant now);
 
     /** The maximum number of attempts of one stage, including hedged ones. */
-    int mostAttempts(Stage stage);
+    int maxAttempts(Stage stage);
 
     /** Whether retries are limited to a fraction of the requests. */
     boolean budgetsRetries();
