--- a/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchScheduler.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchScheduler.java
@@ -336,7 +336,7 @@
                 .field("first_request", pieces.getFirst().order().request())
                 .field("still_waiting", queue.size())
                 .field("room_bytes", freeCapacity)
-                .field("room_of", contract.roomBytes())
+                .field("room_of", contract.resultCapacityBytes())
                 .build());
         return true;
     }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/batch/StageServer.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/batch/StageServer.java
@@ -106,7 +106,7 @@
     /** The total size of the results, in bytes, that a call starting now may produce. */
     long freeCapacity(BatchContract contract, Instant now) {
         results.expire(now);
-        long freeCapacity = contract.roomBytes() - results.usedBytes();
+        long freeCapacity = contract.resultCapacityBytes() - results.usedBytes();
         return now.isBefore(capacityLimitUntil) ? Math.min(freeCapacity, capacityLimit) : freeCapacity;
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/route/BatchContract.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/route/BatchContract.java
@@ -9,11 +9,16 @@
  * @param batch the maximum number of pieces in a call
  * @param callTime the fixed duration of a call
  * @param pieceTime the approximate additional duration per piece
- * @param roomBytes the storage capacity for results that have not been released
+ * @param resultCapacityBytes the storage capacity for results that have not been released
  * @param resultLifetime how long an unreleased result is kept after its call
  */
 public record BatchContract(
-        int slots, int batch, Duration callTime, Duration pieceTime, long roomBytes, Duration resultLifetime) {
+        int slots,
+        int batch,
+        Duration callTime,
+        Duration pieceTime,
+        long resultCapacityBytes,
+        Duration resultLifetime) {
     /** The expected duration of a call with so many pieces. */
     public Duration callOf(int pieces) {
         return callTime.plus(pieceTime.multipliedBy(pieces));
--- a/wagtaillug-core/src/test/java/org/wagtaillug/batch/BatchSchedulerRandomTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/batch/BatchSchedulerRandomTest.java
@@ -136,7 +136,7 @@
             }
             for (VmId id : activeCalls.keySet()) {
                 boolean free = activeCalls.get(id) < contract.slots();
-                boolean fits = usedBytes.get(id) + pieceBytes <= contract.roomBytes();
+                boolean fits = usedBytes.get(id) + pieceBytes <= contract.resultCapacityBytes();
                 assertThat(free && fits)
                         .describedAs(
                                 "server %s is idle at %s while %d pieces are queued", id, now, scheduler.waiting(POOL))
@@ -152,7 +152,7 @@
             activeCalls.merge(id, 1, Integer::sum);
             usedBytes.merge(id, pieceBytes * pieces, Long::sum);
             assertThat(activeCalls.get(id)).isLessThanOrEqualTo(contract.slots());
-            assertThat(usedBytes.get(id)).isLessThanOrEqualTo(contract.roomBytes());
+            assertThat(usedBytes.get(id)).isLessThanOrEqualTo(contract.resultCapacityBytes());
             schedule(contract.callOf(pieces), () -> {
                 activeCalls.merge(id, -1, Integer::sum);
                 List<PieceAnswer> results = new ArrayList<>();
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/LoadWorld.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/LoadWorld.java
@@ -352,7 +352,7 @@
         List<PieceAnswer> answers = new ArrayList<>();
         for (BatchCall.Item item : call.items()) {
             long bytes = CHAIN.get(item.step()).resultBytes();
-            if (server.used + bytes > server.contract.roomBytes()) {
+            if (server.used + bytes > server.contract.resultCapacityBytes()) {
                 answers.add(new PieceAnswer.NoRoom());
                 continue;
             }
