--- a/wagtaillug-core/src/main/java/org/wagtaillug/route/Route.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/route/Route.java
@@ -26,7 +26,7 @@
     private final List<WeightedPool> pools;
     private final List<Step> steps;
     private final Duration timeout;
-    private final Duration aim;
+    private final Duration latencyTarget;
     private final Duration firstEventWithin;
     private final int rank;
     private final int attempts;
@@ -49,7 +49,7 @@
         pools = List.copyOf(builder.pools);
         steps = List.copyOf(builder.steps);
         timeout = builder.timeout;
-        aim = builder.aim;
+        latencyTarget = builder.latencyTarget;
         firstEventWithin = builder.firstEventWithin.compareTo(timeout) < 0 ? builder.firstEventWithin : timeout;
         rank = builder.rank;
         attempts = builder.attempts;
@@ -93,8 +93,8 @@
     }
 
     /** The latency target: the time within which an answer, or the first event of a stream, earns its full worth. */
-    public Duration aim() {
-        return aim;
+    public Duration latencyTarget() {
+        return latencyTarget;
     }
 
     /** How long a caller waits for the first event of a stream before it disconnects; at most the timeout. */
@@ -163,7 +163,7 @@
         private String host = "";
         private String pathPrefix = "/";
         private Duration timeout = DEFAULT_TIMEOUT;
-        private Duration aim = DEFAULT_TIMEOUT;
+        private Duration latencyTarget = DEFAULT_TIMEOUT;
         private Duration firstEventWithin = UNLIMITED;
         private int rank;
         private int attempts = 1;
@@ -195,9 +195,9 @@
         }
 
         /** Sets the timeout and the latency target. */
-        public Builder times(Duration newTimeout, Duration newAim) {
+        public Builder times(Duration newTimeout, Duration newLatencyTarget) {
             timeout = newTimeout;
-            aim = newAim;
+            latencyTarget = newLatencyTarget;
             return this;
         }
 
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/FlowLog.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/FlowLog.java
@@ -110,7 +110,7 @@
                 .field("outcome", outcome)
                 .field("how", how)
                 .field("content", flow.request().fingerprint())
-                .field("aim_ms", flow.route().aim().toMillis())
+                .field("aim_ms", flow.route().latencyTarget().toMillis())
                 .field("total_ms", millis(flow.arrivedAt(), now));
         if (flow.attempts() > 0) {
             line.field("send_ms", millis(flow.arrivedAt(), flow.sentAt()));
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/RemainingTimeEstimate.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/RemainingTimeEstimate.java
@@ -31,7 +31,7 @@
     private static Duration estimate(Optional<Duration> typical, Flow flow, Instant now) {
         Duration remaining = Duration.between(now, flow.deadline());
         boolean stream = flow.route().kind() == RouteKind.STREAM;
-        Duration expected = typical.orElse(stream ? remaining : flow.route().aim());
+        Duration expected = typical.orElse(stream ? remaining : flow.route().latencyTarget());
         return expected.compareTo(remaining) < 0 ? expected : remaining;
     }
 }
