--- a/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchOrder.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchOrder.java
@@ -41,8 +41,8 @@
      * The scheduling priority of an order.
      *
      * @param rank the priority class; 0 is served first
-     * @param aim the latency target: pieces finished by then let the request earn its full worth
+     * @param targetTime the latency target: pieces finished by then let the request earn its full worth
      * @param deadline pieces finished later are useless
      */
-    public record Urgency(int rank, Instant aim, Instant deadline) {}
+    public record Urgency(int rank, Instant targetTime, Instant deadline) {}
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchQueue.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchQueue.java
@@ -82,9 +82,9 @@
         Set<OrderState> orders = new LinkedHashSet<>();
         for (QueuedPiece piece : pieces) {
             Instant queuedSince = piece.since();
-            Instant aim = piece.order().urgency().aim();
+            Instant targetTime = piece.order().urgency().targetTime();
             // For a retry that arrives after its latency target, the grace period starts at the arrival.
-            Instant graceStart = aim.isAfter(queuedSince) ? aim : queuedSince;
+            Instant graceStart = targetTime.isAfter(queuedSince) ? targetTime : queuedSince;
             if (now.isAfter(graceStart.plus(LATE_GRACE))) {
                 orders.add(piece.state());
             }
@@ -144,7 +144,7 @@
         boolean nearbyServerExists = domains.contains(piece.order().near().orElseThrow());
         boolean waitedLessThanOneCall = now.isBefore(piece.since().plus(callDuration));
         boolean canMeetTargetLater = now.plus(callDuration.multipliedBy(2))
-                .isBefore(piece.order().urgency().aim());
+                .isBefore(piece.order().urgency().targetTime());
         return nearbyServerExists && waitedLessThanOneCall && canMeetTargetLater;
     }
 
@@ -152,13 +152,13 @@
         return Comparator.comparing((QueuedPiece piece) -> !meetsTarget(piece, now))
                 .thenComparingInt(piece -> piece.order().urgency().rank())
                 .thenComparing(piece -> crossesDomains(piece, serverDomain))
-                .thenComparing(piece -> piece.order().urgency().aim())
+                .thenComparing(piece -> piece.order().urgency().targetTime())
                 .thenComparing(piece -> piece.order().id().number())
                 .thenComparingInt(QueuedPiece::piece);
     }
 
     private static boolean meetsTarget(QueuedPiece piece, Instant now) {
-        return !earliestCompletion(piece, now).isAfter(piece.order().urgency().aim());
+        return !earliestCompletion(piece, now).isAfter(piece.order().urgency().targetTime());
     }
 
     private static Instant earliestCompletion(QueuedPiece piece, Instant now) {
--- a/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchScheduler.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchScheduler.java
@@ -150,7 +150,7 @@
                 ? expectedWait(order.pool(), order.urgency().rank(), usable, now)
                 : Duration.ZERO;
         Instant finishedAt = now.plus(wait).plus(contract.callOf(Math.min(order.pieces(), contract.batch())));
-        Instant overdue = order.urgency().aim().plus(LATE_GRACE);
+        Instant overdue = order.urgency().targetTime().plus(LATE_GRACE);
         // A retry that arrives after its latency target must not be refused for that reason while the pool is idle.
         boolean withinGrace = wait.isZero() || !finishedAt.isAfter(overdue);
         if (withinGrace && !finishedAt.isAfter(order.urgency().deadline())) {
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/StepOrders.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/StepOrders.java
@@ -138,7 +138,7 @@
 return;
 }
 BatchOrder order = entry.order;
-effects.accept ( new ServingEffect.SendToPeer ( entry.scheduler , new ServingMessage.PiecesWanted ( order.id ( ).number ( ) , order.request ( ) , order.step ( ) , order.pool ( ) , order.pieces ( ) , order.key ( ) , order.inputs ( ) , order.resultBytes ( ) , order.near ( ) , order.urgency ( ).rank ( ) , Duration.between ( now , order.urgency ( ).aim ( ) ) , Duration.between ( now , order.urgency ( ).deadline ( ) ) ) ) );
+effects.accept ( new ServingEffect.SendToPeer ( entry.scheduler , new ServingMessage.PiecesWanted ( order.id ( ).number ( ) , order.request ( ) , order.step ( ) , order.pool ( ) , order.pieces ( ) , order.key ( ) , order.inputs ( ) , order.resultBytes ( ) , order.near ( ) , order.urgency ( ).rank ( ) , Duration.between ( now , order.urgency ( ).targetTime ( ) ) , Duration.between ( now , order.urgency ( ).deadline ( ) ) ) ) );
 }
 
 /** Withdraws the orders of a request that has ended. */
