--- a/wagtaillug-core/src/main/java/org/wagtaillug/health/StepDurations.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/health/StepDurations.java
@@ -31,7 +31,7 @@
     }
 
     /** The median of the latest durations; empty without enough samples. */
-    public Optional<Duration> usual(RouteId route, int step) {
+    public Optional<Duration> median(RouteId route, int step) {
         return sorted(route, step).map(durations -> durations.get((durations.size() - 1) / 2));
     }
 
