--- a/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/Dispatcher.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/Dispatcher.java
@@ -300,7 +300,7 @@
             fail(flow, ResultCode.ATTEMPTS_FAILED, flow.lastFailure(), now, effects);
             return;
         }
-        if (policy.budgetsRetries() && !retries.spend()) {
+        if (policy.budgetsRetries() && !retries.tryAcquire()) {
             fail(flow, ResultCode.RETRY_BUDGET_SPENT, flow.lastFailure(), now, effects);
             return;
         }
@@ -596,7 +596,7 @@
         Set<VmId> excluded = new HashSet<>(flow.tried());
         excluded.add(live.attempt().upstream().id());
         Choice choice = policy.choose(stage, flow.request().prefix(), excluded, now);
-        if (choice.upstream().isEmpty() || !hedges.spend()) {
+        if (choice.upstream().isEmpty() || !hedges.tryAcquire()) {
             return;
         }
         Vm rival = choice.upstream().get();
--- a/wagtaillug-core/src/main/java/org/wagtaillug/retry/AttemptBudget.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/retry/AttemptBudget.java
@@ -33,7 +33,7 @@
     }
 
     /** Takes a token for one extra attempt; false if there is none. */
-    public boolean spend() {
+    public boolean tryAcquire() {
         if (tokens < 1) {
             return false;
         }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/retry/RetryBudget.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/retry/RetryBudget.java
@@ -42,7 +42,7 @@
     }
 
     /** Takes one retry from the budget; false if it is exhausted. */
-    public boolean spend(Instant now) {
+    public boolean tryAcquire(Instant now) {
         expire(now);
         if (retries.size() + 1 > ratio * requests.size() + fixed / sharers.getAsInt()) {
             return false;
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/RequestFlows.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/RequestFlows.java
@@ -425,7 +425,7 @@
 
 /** Retries a request that was not executed at another upstream. */
 private void retryElsewhere ( Flow flow , Instant now ) {
-boolean retry = flow.attempts ( ) < MAX_ATTEMPTS && budget ( flow.pool ( ) ).spend ( now );
+boolean retry = flow.attempts ( ) < MAX_ATTEMPTS && budget ( flow.pool ( ) ).tryAcquire ( now );
 if ( retry ) {
 send ( flow , now );
 return;
@@ -462,7 +462,7 @@
 /** Whether a request that may have been executed can be retried; takes a retry from the budget if so. */
 private boolean takeRetry ( Flow flow , Instant now ) {
 boolean allowed = flow.route ( ).repeatable ( ) && flow.executions ( ) < flow.route ( ).attempts ( ) && now.isBefore ( flow.deadline ( ) ) && shutdown.enoughFor ( remainingTime.fromSending ( flow , now ) , now );
-return allowed && budget ( flow.pool ( ) ).spend ( now );
+return allowed && budget ( flow.pool ( ) ).tryAcquire ( now );
 }
 
 /** Ends a request that cannot be served, with the answer that its state allows: cut, unknown outcome or not run. */
--- a/wagtaillug-core/src/test/java/org/wagtaillug/retry/RetryBudgetTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/retry/RetryBudgetTest.java
@@ -18,7 +18,7 @@
         for (int request = 0; request < 100; request++) {
             Instant now = NOW.plusMillis(request * 50L);
             budget.onRequest(now);
-            spent += budget.spend(now) ? 1 : 0;
+            spent += budget.tryAcquire(now) ? 1 : 0;
         }
         assertThat(spent).isEqualTo(24);
     }
@@ -26,8 +26,8 @@
     @Test
     void spentRetriesAreAvailableAgainAfterTheWindow() {
         RetryBudget budget = new RetryBudget(Duration.ofSeconds(10), 0.2, 1, () -> 1);
-        assertThat(budget.spend(NOW)).isTrue();
-        assertThat(budget.spend(NOW.plusSeconds(10))).isFalse();
-        assertThat(budget.spend(NOW.plusMillis(10_001))).isTrue();
+        assertThat(budget.tryAcquire(NOW)).isTrue();
+        assertThat(budget.tryAcquire(NOW.plusSeconds(10))).isFalse();
+        assertThat(budget.tryAcquire(NOW.plusMillis(10_001))).isTrue();
     }
 }
