--- a/wagtaillug-core/src/main/java/org/wagtaillug/admission/Admission.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/admission/Admission.java
@@ -44,7 +44,7 @@
      * @param customer the customer that sends the request
      * @param share the customer's share, above 0
      */
-    public Option<ResultCode> obstacle(CustomerId customer, double share) {
+    public Option<ResultCode> refusalReason(CustomerId customer, double share) {
         if (total < capacity * PRESSURE_THRESHOLD) {
             return Option.none();
         }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/Intake.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/Intake.java
@@ -131,7 +131,7 @@
                     retryAfter,
                     "the work takes longer than the " + left + " ms to the deadline");
         }
-        Option<ResultCode> obstacle = admission.obstacle(customer.id(), customer.share());
+        Option<ResultCode> obstacle = admission.refusalReason(customer.id(), customer.share());
         if (obstacle.isDefined()) {
             return refuse(flow, obstacle.get(), retryAfter, admission.total() + " requests are in flight on this node");
         }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/admission/AdmissionTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/admission/AdmissionTest.java
@@ -17,27 +17,27 @@
         Admission admission = new Admission(100);
         admission.entered(SMALL, 1);
         int admitted = 0;
-        while (admission.obstacle(LARGE, 4).isEmpty()) {
+        while (admission.refusalReason(LARGE, 4).isEmpty()) {
             admission.entered(LARGE, 4);
             admitted++;
         }
         assertThat(admitted).isEqualTo(80);
-        assertThat(admission.obstacle(LARGE, 4).get()).isEqualTo(ResultCode.CUSTOMER_OVER_SHARE);
+        assertThat(admission.refusalReason(LARGE, 4).get()).isEqualTo(ResultCode.CUSTOMER_OVER_SHARE);
         for (int more = 0; more < 19; more++) {
-            assertThat(admission.obstacle(SMALL, 1).isEmpty()).isTrue();
+            assertThat(admission.refusalReason(SMALL, 1).isEmpty()).isTrue();
             admission.entered(SMALL, 1);
         }
-        assertThat(admission.obstacle(SMALL, 1).isDefined()).isTrue();
+        assertThat(admission.refusalReason(SMALL, 1).isDefined()).isTrue();
     }
 
     @Test
     void aSingleActiveCustomerMayUseTheWholeCapacity() {
         Admission admission = new Admission(10);
-        while (admission.obstacle(LARGE, 1).isEmpty()) {
+        while (admission.refusalReason(LARGE, 1).isEmpty()) {
             admission.entered(LARGE, 1);
         }
         assertThat(admission.total()).isEqualTo(10);
         admission.left(LARGE);
-        assertThat(admission.obstacle(LARGE, 1).isEmpty()).isTrue();
+        assertThat(admission.refusalReason(LARGE, 1).isEmpty()).isTrue();
     }
 }
