--- a/wagtaillug-core/src/main/java/org/wagtaillug/admission/Admission.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/admission/Admission.java
@@ -69,7 +69,7 @@
     }
 
     /** Records that a request of a customer was admitted. */
-    public void entered(CustomerId customer, double share) {
+    public void onAdmitted(CustomerId customer, double share) {
         Usage usage = usages.computeIfAbsent(customer, ignored -> new Usage());
         usage.inFlight++;
         usage.share = share;
@@ -77,7 +77,7 @@
     }
 
     /** Records that a request of a customer has been answered. */
-    public void left(CustomerId customer) {
+    public void onAnswered(CustomerId customer) {
         Usage usage = usages.get(customer);
         if (usage == null) {
             throw new IllegalStateException("customer " + customer + " has no request in flight");
--- a/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/Dispatcher.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/Dispatcher.java
@@ -132,7 +132,7 @@
         }
         RequestFlow flow = admitted.get();
         flows.put(request.id(), flow);
-        admission.entered(request.customer(), share(request));
+        admission.onAdmitted(request.customer(), share(request));
         retries.earn();
         hedges.earn();
         if (flow.idempotent()) {
@@ -387,7 +387,7 @@
             queue(flow.stage().pool()).remove(flow);
         }
         flows.remove(flow.request().id());
-        admission.left(flow.request().customer());
+        admission.onAnswered(flow.request().customer());
     }
 
     private void enqueue(RequestFlow flow, Instant now, Effects effects) {
