--- a/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchOutput.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchOutput.java
@@ -17,5 +17,5 @@
     void release(long number, Listing server, List<String> handles);
 
     /** Writes a decision to the decision log. */
-    void decided(Decision decision);
+    void logDecision(Decision decision);
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchScheduler.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchScheduler.java
@@ -326,7 +326,7 @@
         BatchCall call = new BatchCall(lastCallNumber, server.listing(), items, timeout);
         calls.put(lastCallNumber, new ActiveCall(call, pieces, server, now));
         output.call(call);
-        output.decided(Decision.builder("piece_call")
+        output.logDecision(Decision.builder("piece_call")
                 .field("call", lastCallNumber)
                 .field("upstream", server.listing().id())
                 .field("pool", server.listing().pool())
@@ -382,7 +382,7 @@
                 true,
                 Duration.between(activeCall.startedAt(), now),
                 expected(activeCall));
-        output.decided(Decision.builder("piece_call_broken")
+        output.logDecision(Decision.builder("piece_call_broken")
                 .field("call", activeCall.call().number())
                 .field("upstream", activeCall.call().upstream().id())
                 .field("pieces", activeCall.pieces().size())
@@ -438,7 +438,7 @@
     }
 
     private void logNotMade(ActiveCall activeCall, BatchQueue.QueuedPiece piece, PieceAnswer answer, Instant now) {
-        output.decided(Decision.builder("piece_not_made")
+        output.logDecision(Decision.builder("piece_not_made")
                 .field("request", piece.order().request())
                 .field("step", piece.order().step())
                 .field("piece", piece.piece())
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/StepOrders.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/StepOrders.java
@@ -285,7 +285,7 @@
 effects.accept ( new ServingEffect.ReleaseResults ( number , maker , handles ) );
 }
 
-@Override public void decided ( Decision decision ) {
+@Override public void logDecision ( Decision decision ) {
 effects.accept ( new ServingEffect.LogDecision ( decision ) );
 }
 }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/batch/BatchSchedulerRandomTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/batch/BatchSchedulerRandomTest.java
@@ -191,7 +191,7 @@
         }
 
         @Override
-        public void decided(Decision decision) {
+        public void logDecision(Decision decision) {
             // The decision log is not tested here.
         }
     }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/batch/BatchSchedulerTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/batch/BatchSchedulerTest.java
@@ -57,7 +57,7 @@
         }
 
         @Override
-        public void decided(Decision decision) {
+        public void logDecision(Decision decision) {
             // The decision log is not tested here.
         }
     }
