--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/LoadWorld.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/LoadWorld.java
@@ -249,7 +249,7 @@
         pools.put(RETRIEVE, stage(RETRIEVE, 17, 7.529, 2_805_000));
         pools.put(RERANK, stage(RERANK, 44, 2.9545, 783_200));
         pools.put(MODEL, new PoolProfile(MODEL, 370, 0, Optional.empty(), true));
-        return new ServingConfiguration(1, new RouteTable(routes), pools, CallerLimits.USUAL, Map.of());
+        return new ServingConfiguration(1, new RouteTable(routes), pools, CallerLimits.DEFAULTS, Map.of());
     }
 
     private static PoolProfile stage(PoolId pool, int batch, double pieceMillis, long room) {
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingWorld.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingWorld.java
@@ -254,7 +254,7 @@
         pools.put(MODEL, new PoolProfile(MODEL, 120, 8, Optional.empty(), true));
         Customer office = new Customer(new CustomerId("office"), OptionalInt.empty());
         return new ServingConfiguration(
-                version, new RouteTable(routes), pools, CallerLimits.USUAL, Map.of(KEY, office));
+                version, new RouteTable(routes), pools, CallerLimits.DEFAULTS, Map.of(KEY, office));
     }
 
     private static Route.Builder route(String name, RouteKind kind, int attempts, boolean resumable, Duration timeout) {
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/RoutedHandler.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/RoutedHandler.java
@@ -29,7 +29,7 @@
     private final CallerConnections connections;
     private final Consumer<ServingEvent> events;
     private final Set<Reading> readings = ConcurrentHashMap.newKeySet();
-    private volatile CallerLimits limits = CallerLimits.USUAL;
+    private volatile CallerLimits limits = CallerLimits.DEFAULTS;
 
     RoutedHandler(
             CallerTranslation translation,
