--- a/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchScheduler.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchScheduler.java
@@ -235,7 +235,7 @@
 
     private void queueReleases(List<StepResult> results) {
         for (StepResult result : results) {
-            server(result.maker()).ifPresent(server -> server.pendingReleases().add(result.handle()));
+            server(result.server()).ifPresent(server -> server.pendingReleases().add(result.handle()));
         }
     }
 
--- a/wagtaillug-core/src/main/java/org/wagtaillug/batch/StepResult.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/batch/StepResult.java
@@ -6,6 +6,6 @@
  * A result that is stored at the server that computed it until it is released or its lifetime ends.
  *
  * @param handle the server's name for the result
- * @param maker the upstream that computed and stores it
+ * @param server the upstream that computed and stores it
  */
-public record StepResult(String handle, VmId maker) {}
+public record StepResult(String handle, VmId server) {}
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/FlowSteps.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/FlowSteps.java
@@ -125,7 +125,7 @@
     Optional<DomainId> domainOf(List<StepResult> results) {
         Map<DomainId, Integer> counts = new HashMap<>();
         for (StepResult result : results) {
-            directory.find(result.maker()).ifPresent(maker -> counts.merge(maker.domain(), 1, Integer::sum));
+            directory.find(result.server()).ifPresent(maker -> counts.merge(maker.domain(), 1, Integer::sum));
         }
         return counts.entrySet().stream().max(Map.Entry.comparingByValue()).map(Map.Entry::getKey);
     }
--- a/wagtaillug-link/src/main/java/org/wagtaillug/link/ServingCodec.java
+++ b/wagtaillug-link/src/main/java/org/wagtaillug/link/ServingCodec.java
@@ -297,7 +297,7 @@
         for (StepResult result : results) {
             messages.add(StepResultMessage.newBuilder()
                     .setHandle(result.handle())
-                    .setMaker(result.maker().value())
+                    .setMaker(result.server().value())
                     .build());
         }
         return messages;
