--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/RequestFlows.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/RequestFlows.java
@@ -40,558 +40,622 @@
 
 /** The requests in progress on this node: advances each one and gives it exactly one final answer. */
 final class RequestFlows {
-private static final String SHUTTING_DOWN_MESSAGE = "node is shutting down, retry on another node";
+    private static final String SHUTTING_DOWN_MESSAGE = "node is shutting down, retry on another node";
 
-/** Route label in metrics for requests that match no route. */
-static final String NO_ROUTE = "none";
+    /** Route label in metrics for requests that match no route. */
+    static final String NO_ROUTE = "none";
 
-/**
+    /**
      * An upstream counts as cold for this long after a fault: two of the periods at which it renews its directory
      * entry.
      */
-private static final Duration ASSUMED_COLD_AFTER_FAULT = Duration.ofMillis ( 2500 );
+    private static final Duration ASSUMED_COLD_AFTER_FAULT = Duration.ofMillis(2500);
 
-static final Duration DEFAULT_RETRY_AFTER = Duration.ofMillis ( 500 );
+    static final Duration DEFAULT_RETRY_AFTER = Duration.ofMillis(500);
 
-/**
+    /**
      * A request that all upstreams are too busy for waits for its latency target divided by this and is then refused.
      */
-private static final int ADMISSION_WAIT_DIVISOR = 8;
-
-/** Limit on attempts of one request that was not executed, independent of its route. */
-private static final int MAX_ATTEMPTS = 3;
-
-private static final int MAX_STEP_RESTARTS = 1;
-
-/** Status of an upstream that does not find an input of the request. */
-private static final int STATUS_INPUTS_GONE = 409;
-
-/** The rank of the customer takes precedence over the rank of the route. */
-private static final int CUSTOMER_RANK_FACTOR = 100;
-
-private final UpstreamDirectory directory;
-private final UpstreamHealth health;
-private final Roster roster;
-private final WarmupRateLimiter warmupLimiter;
-private final UpstreamChooser chooser;
-private final FlowSteps steps;
-private final ServingSetup.RetryLimits retryLimits;
-private final RolloutExchange rollouts;
-private final Shutdown shutdown;
-private final RemainingTimeEstimate remainingTime = new RemainingTimeEstimate ( );
-private final EngineTimes engineTimes = new EngineTimes ( );
-private final InputRelease inputs;
-private final PathEstimate pathEstimate;
-private final PolicyFeatures features;
-private final Consumer < ServingEffect > effects;
-private final FlowLog log;
-private final Map < RequestId , Flow > flows = new LinkedHashMap < > ( );
-private final Map < PoolId , RetryBudget > budgets = new HashMap < > ( );
-private final Map < RequestId , Instant > admissionDeadlines = new LinkedHashMap < > ( );
-private ServingConfiguration configuration;
-private int lastAttempt;
-
-RequestFlows ( ServingSetup setup , UpstreamDirectory directory , UpstreamHealth health , Roster roster , StepOrders orders , RolloutExchange rollouts , Shutdown shutdown , Consumer < ServingEffect > effects ) {
-this.directory = directory;
-this.health = health;
-this.roster = roster;
-this.warmupLimiter = new WarmupRateLimiter ( );
-this.features = setup.features ( );
-this.chooser = new UpstreamChooser ( directory , health , new UpstreamLimits ( roster , warmupLimiter , setup.coldBound ( ) ) , setup.domain ( ) , features );
-StepTimes times = new StepTimes ( engineTimes , features );
-this.pathEstimate = new PathEstimate ( times );
-this.steps = new FlowSteps ( directory , orders , times , this :: expectedDomain , features );
-this.retryLimits = setup.retryLimits ( );
-this.rollouts = rollouts;
-this.shutdown = shutdown;
-this.effects = effects;
-this.log = new FlowLog ( effects );
-this.inputs = new InputRelease ( steps , engineTimes , features , log );
-}
-
-/** Sets the configuration for requests that arrive from now on. */
-void configure ( ServingConfiguration latest ) {
-configuration = latest;
-steps.configure ( latest );
-}
-
-boolean idle ( ) {
-return flows.isEmpty ( );
-}
-
-int size ( ) {
-return flows.size ( );
-}
-
-/** Whether any request has no started answer. */
-boolean awaitingAnswer ( ) {
-for ( Flow flow : flows.values ( ) ) {
-if ( ! flow.answerStarted ( ) ) {
-return true;
-}
-}
-return false;
-}
-
-/** Handles the restart of an upstream. */
-void onRestarted ( VmId upstream ) {
-chooser.onRestarted ( upstream );
-}
-
-void onRequest ( RoutedRequest request , Instant now ) {
-if ( flows.containsKey ( request.id ( ) ) ) {
-refuseUnrouted ( request , ResultCode.REQUEST_IN_FLIGHT , "a request with this id is in progress" );
-return;
-}
-switch ( RouteMatch.of ( request , configuration ) ) {
-case RouteMatch.Denied denied -> refuseUnrouted ( request , denied.code ( ) , denied.message ( ) );
-case RouteMatch.Allowed allowed -> begin ( request , allowed.route ( ) , allowed.customer ( ) , now );
-}
-}
-
-private void refuseUnrouted ( RoutedRequest request , ResultCode code , String message ) {
-log.denied ( request , code , configuration.version ( ) );
-effects.accept ( new ServingEffect.Refuse ( request.id ( ) , Refusal.notRun ( code , Duration.ZERO , message ) ) );
-if ( code != ResultCode.REQUEST_IN_FLIGHT ) {
-effects.accept ( new ServingEffect.Finished ( request.id ( ) , NO_ROUTE , Outcome.REFUSED , Duration.ZERO ) );
-}
-}
-
-/** Refuses a request that cannot be answered in the time left until shutdown. */
-private void refuseAtShutdown ( Flow flow , Duration needed , Instant now ) {
-RequestId id = flow.request ( ).id ( );
-log.refusedAtShutdown ( flow , needed , shutdown.since ( now ) );
-Refusal refusal = Refusal.notRun ( ResultCode.SHUTTING_DOWN , Duration.ZERO , SHUTTING_DOWN_MESSAGE );
-effects.accept ( new ServingEffect.Refuse ( id , refusal ) );
-effects.accept ( new ServingEffect.Finished ( id , flow.route ( ).id ( ).value ( ) , Outcome.REFUSED , Duration.ZERO ) );
-}
-
-private void begin ( RoutedRequest request , Route route , Optional < Customer > customer , Instant now ) {
-int customerRank = customer.map ( each -> each.rank ( ).orElse ( 0 ) ).orElse ( 0 );
-int rank = customerRank * CUSTOMER_RANK_FACTOR + route.rank ( );
-Flow flow = new Flow ( request , route , customer.map ( Customer :: id ) , rank , now );
-Duration needed = remainingTime.fromArrival ( flow , now );
-if ( ! shutdown.enoughFor ( needed , now ) ) {
-refuseAtShutdown ( flow , needed , now );
-return;
-}
-flows.put ( request.id ( ) , flow );
-budget ( flow.pool ( ) ).onRequest ( now );
-log.accept ( flow , configuration.version ( ) , shutdown , now );
-if ( ! rejectIfEstimatedLate ( flow , now ) ) {
-advance ( flow , now );
-}
-}
-
-/**
+    private static final int ADMISSION_WAIT_DIVISOR = 8;
+
+    /** Limit on attempts of one request that was not executed, independent of its route. */
+    private static final int MAX_ATTEMPTS = 3;
+
+    private static final int MAX_STEP_RESTARTS = 1;
+
+    /** Status of an upstream that does not find an input of the request. */
+    private static final int STATUS_INPUTS_GONE = 409;
+
+    /** The rank of the customer takes precedence over the rank of the route. */
+    private static final int CUSTOMER_RANK_FACTOR = 100;
+
+    private final UpstreamDirectory directory;
+    private final UpstreamHealth health;
+    private final Roster roster;
+    private final WarmupRateLimiter warmupLimiter;
+    private final UpstreamChooser chooser;
+    private final FlowSteps steps;
+    private final ServingSetup.RetryLimits retryLimits;
+    private final RolloutExchange rollouts;
+    private final Shutdown shutdown;
+    private final RemainingTimeEstimate remainingTime = new RemainingTimeEstimate();
+    private final EngineTimes engineTimes = new EngineTimes();
+    private final InputRelease inputs;
+    private final PathEstimate pathEstimate;
+    private final PolicyFeatures features;
+    private final Consumer<ServingEffect> effects;
+    private final FlowLog log;
+    private final Map<RequestId, Flow> flows = new LinkedHashMap<>();
+    private final Map<PoolId, RetryBudget> budgets = new HashMap<>();
+    private final Map<RequestId, Instant> admissionDeadlines = new LinkedHashMap<>();
+    private ServingConfiguration configuration;
+    private int lastAttempt;
+
+    RequestFlows(
+            ServingSetup setup,
+            UpstreamDirectory directory,
+            UpstreamHealth health,
+            Roster roster,
+            StepOrders orders,
+            RolloutExchange rollouts,
+            Shutdown shutdown,
+            Consumer<ServingEffect> effects) {
+        this.directory = directory;
+        this.health = health;
+        this.roster = roster;
+        this.warmupLimiter = new WarmupRateLimiter();
+        this.features = setup.features();
+        this.chooser = new UpstreamChooser(
+                directory,
+                health,
+                new UpstreamLimits(roster, warmupLimiter, setup.coldBound()),
+                setup.domain(),
+                features);
+        StepTimes times = new StepTimes(engineTimes, features);
+        this.pathEstimate = new PathEstimate(times);
+        this.steps = new FlowSteps(directory, orders, times, this::expectedDomain, features);
+        this.retryLimits = setup.retryLimits();
+        this.rollouts = rollouts;
+        this.shutdown = shutdown;
+        this.effects = effects;
+        this.log = new FlowLog(effects);
+        this.inputs = new InputRelease(steps, engineTimes, features, log);
+    }
+
+    /** Sets the configuration for requests that arrive from now on. */
+    void configure(ServingConfiguration latest) {
+        configuration = latest;
+        steps.configure(latest);
+    }
+
+    boolean idle() {
+        return flows.isEmpty();
+    }
+
+    int size() {
+        return flows.size();
+    }
+
+    /** Whether any request has no started answer. */
+    boolean awaitingAnswer() {
+        for (Flow flow : flows.values()) {
+            if (!flow.answerStarted()) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    /** Handles the restart of an upstream. */
+    void onRestarted(VmId upstream) {
+        chooser.onRestarted(upstream);
+    }
+
+    void onRequest(RoutedRequest request, Instant now) {
+        if (flows.containsKey(request.id())) {
+            refuseUnrouted(request, ResultCode.REQUEST_IN_FLIGHT, "a request with this id is in progress");
+            return;
+        }
+        switch (RouteMatch.of(request, configuration)) {
+            case RouteMatch.Denied denied -> refuseUnrouted(request, denied.code(), denied.message());
+            case RouteMatch.Allowed allowed -> begin(request, allowed.route(), allowed.customer(), now);
+        }
+    }
+
+    private void refuseUnrouted(RoutedRequest request, ResultCode code, String message) {
+        log.denied(request, code, configuration.version());
+        effects.accept(new ServingEffect.Refuse(request.id(), Refusal.notRun(code, Duration.ZERO, message)));
+        if (code != ResultCode.REQUEST_IN_FLIGHT) {
+            effects.accept(new ServingEffect.Finished(request.id(), NO_ROUTE, Outcome.REFUSED, Duration.ZERO));
+        }
+    }
+
+    /** Refuses a request that cannot be answered in the time left until shutdown. */
+    private void refuseAtShutdown(Flow flow, Duration needed, Instant now) {
+        RequestId id = flow.request().id();
+        log.refusedAtShutdown(flow, needed, shutdown.since(now));
+        Refusal refusal = Refusal.notRun(ResultCode.SHUTTING_DOWN, Duration.ZERO, SHUTTING_DOWN_MESSAGE);
+        effects.accept(new ServingEffect.Refuse(id, refusal));
+        effects.accept(new ServingEffect.Finished(id, flow.route().id().value(), Outcome.REFUSED, Duration.ZERO));
+    }
+
+    private void begin(RoutedRequest request, Route route, Optional<Customer> customer, Instant now) {
+        int customerRank = customer.map(each -> each.rank().orElse(0)).orElse(0);
+        int rank = customerRank * CUSTOMER_RANK_FACTOR + route.rank();
+        Flow flow = new Flow(request, route, customer.map(Customer::id), rank, now);
+        Duration needed = remainingTime.fromArrival(flow, now);
+        if (!shutdown.enoughFor(needed, now)) {
+            refuseAtShutdown(flow, needed, now);
+            return;
+        }
+        flows.put(request.id(), flow);
+        budget(flow.pool()).onRequest(now);
+        log.accept(flow, configuration.version(), shutdown, now);
+        if (!rejectIfEstimatedLate(flow, now)) {
+            advance(flow, now);
+        }
+    }
+
+    /**
      * Rejects a request whose estimated time through all steps exceeds its latency target by more than a piece may
      * wait past it in a pool. Returns whether it was rejected.
      */
-private boolean rejectIfEstimatedLate ( Flow flow , Instant now ) {
-if ( ! features.uses ( PolicyFeature.WHOLE_WAY_REFUSAL ) ) {
-return false;
-}
-PathEstimate.Path estimate = pathEstimate.estimate ( flow , configuration , ( pool , rank ) -> steps.waitOf ( pool , rank , now ) , now );
-Duration excess = estimate.total ( ).minus ( flow.route ( ).latencyTarget ( ) ).minus ( BatchScheduler.LATE_GRACE );
-// A retry that comes after its latency target must not be refused for missing it while its pools are idle.
-if ( estimate.waits ( ).isZero ( ) || ! excess.isPositive ( ) ) {
-return false;
-}
-String message = "estimated time to the first event is " + estimate.total ( ).toMillis ( ) + " ms, beyond the latency target";
-Duration retryAfter = excess.compareTo ( DEFAULT_RETRY_AFTER ) < 0 ? DEFAULT_RETRY_AFTER : excess;
-refuse ( flow , ResultCode.STEP_OVERLOADED , retryAfter , message , now );
-return true;
-}
-
-private RetryBudget budget ( PoolId pool ) {
-return budgets.computeIfAbsent ( pool , id -> new RetryBudget ( retryLimits.window ( ) , retryLimits.ratio ( ) , retryLimits.fixed ( ) , roster :: sharers ) );
-}
-
-/** Orders the steps that are due, or sends the request when all steps are completed. */
-private void advance ( Flow flow , Instant now ) {
-if ( flow.stepsCompleted ( ) ) {
-send ( flow , now );
-return;
-}
-for ( Step step : steps.due ( flow , now ) ) {
-if ( flows.get ( flow.request ( ).id ( ) ) != flow ) {
-return;
-}
-if ( ! steps.order ( flow , step , now ) ) {
-String message = "pool \"" + step.pool ( ) + "\" of step " + step.number ( ) + " accepts no pieces";
-refuse ( flow , ResultCode.STEP_FAILED , DEFAULT_RETRY_AFTER , message , now );
-return;
-}
-}
-}
-
-void onStepAnswer ( StepOrders.Answer answer , Instant now ) {
-BatchOrder order = answer.order ( );
-Flow flow = flows.get ( order.request ( ) );
-if ( flow == null || ! steps.expects ( order ) ) {
-steps.releaseUnwanted ( answer );
-return;
-}
-log.step ( flow , answer );
-switch ( answer.outcome ( ) ) {
-case BatchOutcome.Made made -> {
-steps.onStepCompleted ( flow , answer , made.results ( ) );
-advance ( flow , now );
-}
-case BatchOutcome.NotMade notMade -> onNotMade ( flow , order , notMade , now );
-}
-}
-
-private void onNotMade ( Flow flow , BatchOrder order , BatchOutcome.NotMade notMade , Instant now ) {
-if ( notMade.reason ( ) == BatchOutcome.Reason.INPUTS_GONE ) {
-restartSteps ( flow , notMade.retryAfter ( ) , now );
-return;
-}
-String message = "step " + order.step ( ) + " failed: " + notMade.reason ( );
-ResultCode code = switch ( notMade.reason ( ) ) {
-case OVERLOADED -> ResultCode.STEP_OVERLOADED;
-case LATE -> ResultCode.DEADLINE_CANNOT_BE_MET;
-case FAILED , INPUTS_GONE -> ResultCode.STEP_FAILED;
-case NO_UPSTREAM -> ResultCode.NO_UPSTREAM;
-}
-;
-refuse ( flow , code , notMade.retryAfter ( ) , message , now );
-}
-
-/**
+    private boolean rejectIfEstimatedLate(Flow flow, Instant now) {
+        if (!features.uses(PolicyFeature.WHOLE_WAY_REFUSAL)) {
+            return false;
+        }
+        PathEstimate.Path estimate =
+                pathEstimate.estimate(flow, configuration, (pool, rank) -> steps.waitOf(pool, rank, now), now);
+        Duration excess = estimate.total().minus(flow.route().latencyTarget()).minus(BatchScheduler.LATE_GRACE);
+        // A retry that comes after its latency target must not be refused for missing it while its pools are idle.
+        if (estimate.waits().isZero() || !excess.isPositive()) {
+            return false;
+        }
+        String message = "estimated time to the first event is "
+                + estimate.total().toMillis() + " ms, beyond the latency target";
+        Duration retryAfter = excess.compareTo(DEFAULT_RETRY_AFTER) < 0 ? DEFAULT_RETRY_AFTER : excess;
+        refuse(flow, ResultCode.STEP_OVERLOADED, retryAfter, message, now);
+        return true;
+    }
+
+    private RetryBudget budget(PoolId pool) {
+        return budgets.computeIfAbsent(
+                pool,
+                id -> new RetryBudget(retryLimits.window(), retryLimits.ratio(), retryLimits.fixed(), roster::sharers));
+    }
+
+    /** Orders the steps that are due, or sends the request when all steps are completed. */
+    private void advance(Flow flow, Instant now) {
+        if (flow.stepsCompleted()) {
+            send(flow, now);
+            return;
+        }
+        for (Step step : steps.due(flow, now)) {
+            if (flows.get(flow.request().id()) != flow) {
+                return;
+            }
+            if (!steps.order(flow, step, now)) {
+                String message = "pool \"" + step.pool() + "\" of step " + step.number() + " accepts no pieces";
+                refuse(flow, ResultCode.STEP_FAILED, DEFAULT_RETRY_AFTER, message, now);
+                return;
+            }
+        }
+    }
+
+    void onStepAnswer(StepOrders.Answer answer, Instant now) {
+        BatchOrder order = answer.order();
+        Flow flow = flows.get(order.request());
+        if (flow == null || !steps.expects(order)) {
+            steps.releaseUnwanted(answer);
+            return;
+        }
+        log.step(flow, answer);
+        switch (answer.outcome()) {
+            case BatchOutcome.Made made -> {
+                steps.onStepCompleted(flow, answer, made.results());
+                advance(flow, now);
+            }
+            case BatchOutcome.NotMade notMade -> onNotMade(flow, order, notMade, now);
+        }
+    }
+
+    private void onNotMade(Flow flow, BatchOrder order, BatchOutcome.NotMade notMade, Instant now) {
+        if (notMade.reason() == BatchOutcome.Reason.INPUTS_GONE) {
+            restartSteps(flow, notMade.retryAfter(), now);
+            return;
+        }
+        String message = "step " + order.step() + " failed: " + notMade.reason();
+        ResultCode code =
+                switch (notMade.reason()) {
+                    case OVERLOADED -> ResultCode.STEP_OVERLOADED;
+                    case LATE -> ResultCode.DEADLINE_CANNOT_BE_MET;
+                    case FAILED, INPUTS_GONE -> ResultCode.STEP_FAILED;
+                    case NO_UPSTREAM -> ResultCode.NO_UPSTREAM;
+                };
+        refuse(flow, code, notMade.retryAfter(), message, now);
+    }
+
+    /**
      * Restarts all steps, at most once, after a result was lost at its stage server. A request is never sent without
      * its inputs.
      */
-private void restartSteps ( Flow flow , Duration retryAfter , Instant now ) {
-steps.endRequest ( flow , now );
-if ( flow.restartSteps ( ) > MAX_STEP_RESTARTS ) {
-refuse ( flow , ResultCode.STEP_FAILED , retryAfter , "step results were lost again after all steps had been repeated" , now );
-return;
-}
-if ( ! shutdown.enoughFor ( remainingTime.fromArrival ( flow , now ) , now ) ) {
-refuse ( flow , ResultCode.SHUTTING_DOWN , Duration.ZERO , SHUTTING_DOWN_MESSAGE , now );
-return;
-}
-log.restartSteps ( flow );
-advance ( flow , now );
-}
-
-private void send ( Flow flow , Instant now ) {
-if ( flow.inputsReleased ( ) ) {
-// The inputs were released during an earlier attempt; another upstream would not find them.
-restartSteps ( flow , DEFAULT_RETRY_AFTER , now );
-return;
-}
-if ( ! shutdown.enoughFor ( remainingTime.fromSending ( flow , now ) , now ) ) {
-fail ( flow , ResultCode.SHUTTING_DOWN , SHUTTING_DOWN_MESSAGE , now );
-return;
-}
-Optional < PoolProfile > pool = configuration.pool ( flow.pool ( ) );
-if ( pool.isEmpty ( ) || directory.usable ( flow.pool ( ) ).isEmpty ( ) ) {
-fail ( flow , ResultCode.NO_UPSTREAM , "pool \"" + flow.pool ( ) + "\" has no available upstream" , now );
-return;
-}
-Set < VmId > excluded = flow.triedUpstreams ( );
-UpstreamChooser.Prompt prompt = new UpstreamChooser.Prompt ( flow.request ( ).promptSegments ( ) , flow.request ( ).promptTokens ( ) , steps.domainOf ( flow.inputResults ( ) ) , flow.estimatedInputBytes ( ) );
-Optional < Upstream > chosen = chooser.choose ( pool.get ( ) , versionRule ( flow ) , excluded , prompt , now ).or ( ( ) -> chooser.choose ( pool.get ( ) , rollouts.stableVersions ( flow.pool ( ) ) , excluded , prompt , now ) );
-if ( chosen.isEmpty ( ) ) {
-waitForUpstream ( flow , now );
-return;
-}
-admissionDeadlines.remove ( flow.request ( ).id ( ) );
-send ( flow , chosen.get ( ) , prompt , now );
-}
-
-private VersionRule versionRule ( Flow flow ) {
-return rollouts.rule ( flow.pool ( ) , flow.request ( ).id ( ) , flow.attempts ( ) == 0 );
-}
-
-private Optional < DomainId > expectedDomain ( Flow flow , Instant now ) {
-UpstreamChooser.Prompt prompt = new UpstreamChooser.Prompt ( flow.request ( ).promptSegments ( ) , flow.request ( ).promptTokens ( ) , Optional.empty ( ) , 0 );
-return configuration.pool ( flow.pool ( ) ).flatMap ( pool -> chooser.choose ( pool , versionRule ( flow ) , flow.triedUpstreams ( ) , prompt , now ) ).map ( Upstream :: domain );
-}
-
-private void waitForUpstream ( Flow flow , Instant now ) {
-Duration maxWait = flow.route ( ).latencyTarget ( ).dividedBy ( ADMISSION_WAIT_DIVISOR );
-Instant until = admissionDeadlines.computeIfAbsent ( flow.request ( ).id ( ) , id -> now.plus ( maxWait ) );
-if ( ! now.isBefore ( until ) ) {
-fail ( flow , ResultCode.UPSTREAM_FULL , "all upstreams of pool \"" + flow.pool ( ) + "\" are at their limits" , now );
-}
-}
-
-private void send ( Flow flow , Upstream upstream , UpstreamChooser.Prompt prompt , Instant now ) {
-lastAttempt ++;
-flow.startAttempt ( upstream , lastAttempt , now );
-health.onStarted ( upstream.id ( ) , now );
-warmupLimiter.onSent ( upstream.id ( ) , now );
-long keptTokens = chooser.cachedTokens ( upstream , prompt , now );
-chooser.onSent ( upstream.id ( ) , prompt , now );
-boolean stream = flow.route ( ).kind ( ) == RouteKind.STREAM;
-effects.accept ( new ServingEffect.Send ( new SendOrder ( flow.request ( ).id ( ) , flow.attempt ( ) , upstream.listing ( ) , flow.deadline ( ) , flow.customer ( ) , flow.inputHandles ( ) , flow.lastEvent ( ) , stream , retryableElsewhere ( flow ) , stream || flow.route ( ).kind ( ) == RouteKind.ONCE ) ) );
-log.send ( flow , upstream , health.inFlight ( upstream.id ( ) ) , keptTokens , now );
-}
-
-/** Whether another upstream may get the request if the one that it is being sent to stops responding. */
-private boolean retryableElsewhere ( Flow flow ) {
-boolean attemptsLeft = flow.executions ( ) + 1 < flow.route ( ).attempts ( );
-boolean untried = directory.usable ( flow.pool ( ) ).size ( ) > flow.triedUpstreams ( ).size ( );
-return flow.route ( ).repeatable ( ) && attemptsLeft && untried;
-}
-
-void onAnswerStarted ( RequestId id , int attempt , Instant now ) {
-Flow flow = flows.get ( id );
-if ( flow == null || flow.attempt ( ) != attempt || flow.target ( ).isEmpty ( ) ) {
-return;
-}
-if ( ! flow.answerStarted ( ) ) {
-flow.startAnswer ( now );
-flow.recordExecution ( );
-addSample ( flow , false , now );
-}
-finishReading ( flow );
-log.answerStarted ( flow , flow.target ( ).get ( ) , now );
-health.onProgress ( flow.target ( ).get ( ).id ( ) , now );
-engineTimes.onFirstEvent ( flow.pool ( ) , flow.request ( ).promptTokens ( ) , Duration.between ( flow.sentAt ( ) , now ) , now );
-inputs.onAnswerStarted ( flow , now );
-}
-
-/** Records that the upstream has finished reading the prompt, or will not read it. */
-private void finishReading ( Flow flow ) {
-if ( flow.finishReading ( ) ) {
-flow.target ( ).ifPresent ( upstream -> chooser.onPromptRead ( upstream.id ( ) , flow.request ( ).promptTokens ( ) ) );
-}
-}
-
-void onSendEnded ( RequestId id , int attempt , SendEnd end , Instant now ) {
-Flow flow = flows.get ( id );
-if ( flow == null || flow.attempt ( ) != attempt || flow.target ( ).isEmpty ( ) ) {
-return;
-}
-Upstream upstream = flow.target ( ).get ( );
-finishReading ( flow );
-if ( end instanceof SendEnd.Failed || end instanceof SendEnd.Broken ) {
-addSample ( flow , true , now );
-}
-flow.clearTarget ( );
-recordEnd ( flow , upstream , end , now );
-switch ( end ) {
-case SendEnd.Passed ignored -> onPassed ( flow , now );
-case SendEnd.GivenUp ignored -> finish ( flow , Outcome.LEFT , "attempt cancelled" , now );
-case SendEnd.Unsent ignored -> retryElsewhere ( flow , now );
-case SendEnd.NotRun notRun -> onNotRun ( flow , notRun.status ( ) , now );
-case SendEnd.Failed ignored -> onFailed ( flow , now );
-case SendEnd.Broken broken -> onBroken ( flow , broken , now );
-}
-}
-
-private void onPassed ( Flow flow , Instant now ) {
-remainingTime.onAnswered ( flow , now );
-finish ( flow , Outcome.PASSED , "passed" , now );
-}
-
-/** Adds a sample for the comparison of candidate and stable versions in a rollout. */
-private void addSample ( Flow flow , boolean failed , Instant now ) {
-flow.target ( ).ifPresent ( upstream -> rollouts.sample ( upstream.listing ( ) , flow.route ( ).id ( ).value ( ) , failed , Duration.between ( flow.sentAt ( ) , now ) ) );
-}
-
-private void recordEnd ( Flow flow , Upstream upstream , SendEnd end , Instant now ) {
-Duration took = Duration.between ( flow.sentAt ( ) , now );
-Optional < PoolId > pool = Optional.of ( flow.pool ( ) );
-switch ( end ) {
-case SendEnd.Passed ignored -> health.onEnded ( upstream.id ( ) , pool , took , true , now );
-case SendEnd.Failed ignored -> health.onEnded ( upstream.id ( ) , pool , took , true , now );
-case SendEnd.GivenUp ignored -> health.onCancelled ( upstream.id ( ) );
-case SendEnd.NotRun ignored -> health.onCancelled ( upstream.id ( ) );
-case SendEnd.Unsent ignored -> recordFault ( upstream , took , now );
-case SendEnd.Broken ignored -> recordFault ( upstream , took , now );
-}
-log.end ( flow , upstream , end , took );
-}
-
-/** After a fault the upstream may have restarted and counts as cold until its directory entry says otherwise. */
-private void recordFault ( Upstream upstream , Duration took , Instant now ) {
-health.onEnded ( upstream.id ( ) , Optional.empty ( ) , took , false , now );
-directory.onFault ( upstream.id ( ) , now.plus ( ASSUMED_COLD_AFTER_FAULT ) );
-}
-
-private void onNotRun ( Flow flow , int status , Instant now ) {
-if ( status == STATUS_INPUTS_GONE && ! flow.steps ( ).isEmpty ( ) ) {
-inputs.onInputMissing ( flow );
-restartSteps ( flow , DEFAULT_RETRY_AFTER , now );
-return;
-}
-retryElsewhere ( flow , now );
-}
-
-/** Retries a request that was not executed at another upstream. */
-private void retryElsewhere ( Flow flow , Instant now ) {
-boolean retry = flow.attempts ( ) < MAX_ATTEMPTS && budget ( flow.pool ( ) ).tryAcquire ( now );
-if ( retry ) {
-send ( flow , now );
-return;
-}
-fail ( flow , ResultCode.UPSTREAM_FULL , "no upstream of pool \"" + flow.pool ( ) + "\" accepted the request" , now );
-}
-
-private void onFailed ( Flow flow , Instant now ) {
-if ( flow.answerStarted ( ) ) {
-fail ( flow , ResultCode.ATTEMPTS_FAILED , "the upstream that was to resume the stream failed" , now );
-return;
-}
-flow.recordExecution ( );
-if ( ! takeRetry ( flow , now ) ) {
-effects.accept ( new ServingEffect.ForwardFailure ( flow.request ( ).id ( ) ) );
-finish ( flow , Outcome.FAILED , "upstream failure forwarded" , now );
-return;
-}
-send ( flow , now );
-}
-
-private void onBroken ( Flow flow , SendEnd.Broken broken , Instant now ) {
-flow.lastEvent ( broken.lastEvent ( ) );
-if ( ! flow.answerStarted ( ) ) {
-flow.recordExecution ( );
-}
-if ( ! takeRetry ( flow , now ) ) {
-fail ( flow , ResultCode.OUTCOME_UNKNOWN , "the upstream failed before its answer was complete: " + broken.reason ( ) , now );
-return;
-}
-send ( flow , now );
-}
-
-/** Whether a request that may have been executed can be retried; takes a retry from the budget if so. */
-private boolean takeRetry ( Flow flow , Instant now ) {
-boolean allowed = flow.route ( ).repeatable ( ) && flow.executions ( ) < flow.route ( ).attempts ( ) && now.isBefore ( flow.deadline ( ) ) && shutdown.enoughFor ( remainingTime.fromSending ( flow , now ) , now );
-return allowed && budget ( flow.pool ( ) ).tryAcquire ( now );
-}
-
-/** Ends a request that cannot be served, with the answer that its state allows: cut, unknown outcome or not run. */
-private void fail ( Flow flow , ResultCode code , String message , Instant now ) {
-if ( flow.answerStarted ( ) ) {
-effects.accept ( new ServingEffect.Cut ( flow.request ( ).id ( ) ) );
-finish ( flow , Outcome.LOST , "cut: " + message , now );
-return;
-}
-if ( flow.mayHaveRun ( ) ) {
-ResultCode unknown = code.status ( ) == ResultCode.DEADLINE_EXCEEDED.status ( ) ? code : ResultCode.OUTCOME_UNKNOWN;
-Refusal refusal = Refusal.unknown ( unknown , Duration.ZERO , message );
-effects.accept ( new ServingEffect.Refuse ( flow.request ( ).id ( ) , refusal ) );
-finish ( flow , Outcome.LOST , "refused " + unknown , now );
-return;
-}
-Duration retryAfter = code == ResultCode.SHUTTING_DOWN ? Duration.ZERO : DEFAULT_RETRY_AFTER;
-refuse ( flow , code , retryAfter , message , now );
-}
-
-/**
+    private void restartSteps(Flow flow, Duration retryAfter, Instant now) {
+        steps.endRequest(flow, now);
+        if (flow.restartSteps() > MAX_STEP_RESTARTS) {
+            refuse(
+                    flow,
+                    ResultCode.STEP_FAILED,
+                    retryAfter,
+                    "step results were lost again after all steps had been repeated",
+                    now);
+            return;
+        }
+        if (!shutdown.enoughFor(remainingTime.fromArrival(flow, now), now)) {
+            refuse(flow, ResultCode.SHUTTING_DOWN, Duration.ZERO, SHUTTING_DOWN_MESSAGE, now);
+            return;
+        }
+        log.restartSteps(flow);
+        advance(flow, now);
+    }
+
+    private void send(Flow flow, Instant now) {
+        if (flow.inputsReleased()) {
+            // The inputs were released during an earlier attempt; another upstream would not find them.
+            restartSteps(flow, DEFAULT_RETRY_AFTER, now);
+            return;
+        }
+        if (!shutdown.enoughFor(remainingTime.fromSending(flow, now), now)) {
+            fail(flow, ResultCode.SHUTTING_DOWN, SHUTTING_DOWN_MESSAGE, now);
+            return;
+        }
+        Optional<PoolProfile> pool = configuration.pool(flow.pool());
+        if (pool.isEmpty() || directory.usable(flow.pool()).isEmpty()) {
+            fail(flow, ResultCode.NO_UPSTREAM, "pool \"" + flow.pool() + "\" has no available upstream", now);
+            return;
+        }
+        Set<VmId> excluded = flow.triedUpstreams();
+        UpstreamChooser.Prompt prompt = new UpstreamChooser.Prompt(
+                flow.request().promptSegments(),
+                flow.request().promptTokens(),
+                steps.domainOf(flow.inputResults()),
+                flow.estimatedInputBytes());
+        Optional<Upstream> chosen = chooser.choose(pool.get(), versionRule(flow), excluded, prompt, now)
+                .or(() -> chooser.choose(pool.get(), rollouts.stableVersions(flow.pool()), excluded, prompt, now));
+        if (chosen.isEmpty()) {
+            waitForUpstream(flow, now);
+            return;
+        }
+        admissionDeadlines.remove(flow.request().id());
+        send(flow, chosen.get(), prompt, now);
+    }
+
+    private VersionRule versionRule(Flow flow) {
+        return rollouts.rule(flow.pool(), flow.request().id(), flow.attempts() == 0);
+    }
+
+    private Optional<DomainId> expectedDomain(Flow flow, Instant now) {
+        UpstreamChooser.Prompt prompt = new UpstreamChooser.Prompt(
+                flow.request().promptSegments(), flow.request().promptTokens(), Optional.empty(), 0);
+        return configuration
+                .pool(flow.pool())
+                .flatMap(pool -> chooser.choose(pool, versionRule(flow), flow.triedUpstreams(), prompt, now))
+                .map(Upstream::domain);
+    }
+
+    private void waitForUpstream(Flow flow, Instant now) {
+        Duration maxWait = flow.route().latencyTarget().dividedBy(ADMISSION_WAIT_DIVISOR);
+        Instant until = admissionDeadlines.computeIfAbsent(flow.request().id(), id -> now.plus(maxWait));
+        if (!now.isBefore(until)) {
+            fail(
+                    flow,
+                    ResultCode.UPSTREAM_FULL,
+                    "all upstreams of pool \"" + flow.pool() + "\" are at their limits",
+                    now);
+        }
+    }
+
+    private void send(Flow flow, Upstream upstream, UpstreamChooser.Prompt prompt, Instant now) {
+        lastAttempt++;
+        flow.startAttempt(upstream, lastAttempt, now);
+        health.onStarted(upstream.id(), now);
+        warmupLimiter.onSent(upstream.id(), now);
+        long keptTokens = chooser.cachedTokens(upstream, prompt, now);
+        chooser.onSent(upstream.id(), prompt, now);
+        boolean stream = flow.route().kind() == RouteKind.STREAM;
+        effects.accept(new ServingEffect.Send(new SendOrder(
+                flow.request().id(),
+                flow.attempt(),
+                upstream.listing(),
+                flow.deadline(),
+                flow.customer(),
+                flow.inputHandles(),
+                flow.lastEvent(),
+                stream,
+                retryableElsewhere(flow),
+                stream || flow.route().kind() == RouteKind.ONCE)));
+        log.send(flow, upstream, health.inFlight(upstream.id()), keptTokens, now);
+    }
+
+    /** Whether another upstream may get the request if the one that it is being sent to stops responding. */
+    private boolean retryableElsewhere(Flow flow) {
+        boolean attemptsLeft = flow.executions() + 1 < flow.route().attempts();
+        boolean untried =
+                directory.usable(flow.pool()).size() > flow.triedUpstreams().size();
+        return flow.route().repeatable() && attemptsLeft && untried;
+    }
+
+    void onAnswerStarted(RequestId id, int attempt, Instant now) {
+        Flow flow = flows.get(id);
+        if (flow == null || flow.attempt() != attempt || flow.target().isEmpty()) {
+            return;
+        }
+        if (!flow.answerStarted()) {
+            flow.startAnswer(now);
+            flow.recordExecution();
+            addSample(flow, false, now);
+        }
+        finishReading(flow);
+        log.answerStarted(flow, flow.target().get(), now);
+        health.onProgress(flow.target().get().id(), now);
+        engineTimes.onFirstEvent(flow.pool(), flow.request().promptTokens(), Duration.between(flow.sentAt(), now), now);
+        inputs.onAnswerStarted(flow, now);
+    }
+
+    /** Records that the upstream has finished reading the prompt, or will not read it. */
+    private void finishReading(Flow flow) {
+        if (flow.finishReading()) {
+            flow.target()
+                    .ifPresent(upstream ->
+                            chooser.onPromptRead(upstream.id(), flow.request().promptTokens()));
+        }
+    }
+
+    void onSendEnded(RequestId id, int attempt, SendEnd end, Instant now) {
+        Flow flow = flows.get(id);
+        if (flow == null || flow.attempt() != attempt || flow.target().isEmpty()) {
+            return;
+        }
+        Upstream upstream = flow.target().get();
+        finishReading(flow);
+        if (end instanceof SendEnd.Failed || end instanceof SendEnd.Broken) {
+            addSample(flow, true, now);
+        }
+        flow.clearTarget();
+        recordEnd(flow, upstream, end, now);
+        switch (end) {
+            case SendEnd.Passed ignored -> onPassed(flow, now);
+            case SendEnd.GivenUp ignored -> finish(flow, Outcome.LEFT, "attempt cancelled", now);
+            case SendEnd.Unsent ignored -> retryElsewhere(flow, now);
+            case SendEnd.NotRun notRun -> onNotRun(flow, notRun.status(), now);
+            case SendEnd.Failed ignored -> onFailed(flow, now);
+            case SendEnd.Broken broken -> onBroken(flow, broken, now);
+        }
+    }
+
+    private void onPassed(Flow flow, Instant now) {
+        remainingTime.onAnswered(flow, now);
+        finish(flow, Outcome.PASSED, "passed", now);
+    }
+
+    /** Adds a sample for the comparison of candidate and stable versions in a rollout. */
+    private void addSample(Flow flow, boolean failed, Instant now) {
+        flow.target()
+                .ifPresent(upstream -> rollouts.sample(
+                        upstream.listing(), flow.route().id().value(), failed, Duration.between(flow.sentAt(), now)));
+    }
+
+    private void recordEnd(Flow flow, Upstream upstream, SendEnd end, Instant now) {
+        Duration took = Duration.between(flow.sentAt(), now);
+        Optional<PoolId> pool = Optional.of(flow.pool());
+        switch (end) {
+            case SendEnd.Passed ignored -> health.onEnded(upstream.id(), pool, took, true, now);
+            case SendEnd.Failed ignored -> health.onEnded(upstream.id(), pool, took, true, now);
+            case SendEnd.GivenUp ignored -> health.onCancelled(upstream.id());
+            case SendEnd.NotRun ignored -> health.onCancelled(upstream.id());
+            case SendEnd.Unsent ignored -> recordFault(upstream, took, now);
+            case SendEnd.Broken ignored -> recordFault(upstream, took, now);
+        }
+        log.end(flow, upstream, end, took);
+    }
+
+    /** After a fault the upstream may have restarted and counts as cold until its directory entry says otherwise. */
+    private void recordFault(Upstream upstream, Duration took, Instant now) {
+        health.onEnded(upstream.id(), Optional.empty(), took, false, now);
+        directory.onFault(upstream.id(), now.plus(ASSUMED_COLD_AFTER_FAULT));
+    }
+
+    private void onNotRun(Flow flow, int status, Instant now) {
+        if (status == STATUS_INPUTS_GONE && !flow.steps().isEmpty()) {
+            inputs.onInputMissing(flow);
+            restartSteps(flow, DEFAULT_RETRY_AFTER, now);
+            return;
+        }
+        retryElsewhere(flow, now);
+    }
+
+    /** Retries a request that was not executed at another upstream. */
+    private void retryElsewhere(Flow flow, Instant now) {
+        boolean retry = flow.attempts() < MAX_ATTEMPTS && budget(flow.pool()).tryAcquire(now);
+        if (retry) {
+            send(flow, now);
+            return;
+        }
+        fail(flow, ResultCode.UPSTREAM_FULL, "no upstream of pool \"" + flow.pool() + "\" accepted the request", now);
+    }
+
+    private void onFailed(Flow flow, Instant now) {
+        if (flow.answerStarted()) {
+            fail(flow, ResultCode.ATTEMPTS_FAILED, "the upstream that was to resume the stream failed", now);
+            return;
+        }
+        flow.recordExecution();
+        if (!takeRetry(flow, now)) {
+            effects.accept(new ServingEffect.ForwardFailure(flow.request().id()));
+            finish(flow, Outcome.FAILED, "upstream failure forwarded", now);
+            return;
+        }
+        send(flow, now);
+    }
+
+    private void onBroken(Flow flow, SendEnd.Broken broken, Instant now) {
+        flow.lastEvent(broken.lastEvent());
+        if (!flow.answerStarted()) {
+            flow.recordExecution();
+        }
+        if (!takeRetry(flow, now)) {
+            fail(
+                    flow,
+                    ResultCode.OUTCOME_UNKNOWN,
+                    "the upstream failed before its answer was complete: " + broken.reason(),
+                    now);
+            return;
+        }
+        send(flow, now);
+    }
+
+    /** Whether a request that may have been executed can be retried; takes a retry from the budget if so. */
+    private boolean takeRetry(Flow flow, Instant now) {
+        boolean allowed = flow.route().repeatable()
+                && flow.executions() < flow.route().attempts()
+                && now.isBefore(flow.deadline())
+                && shutdown.enoughFor(remainingTime.fromSending(flow, now), now);
+        return allowed && budget(flow.pool()).tryAcquire(now);
+    }
+
+    /** Ends a request that cannot be served, with the answer that its state allows: cut, unknown outcome or not run. */
+    private void fail(Flow flow, ResultCode code, String message, Instant now) {
+        if (flow.answerStarted()) {
+            effects.accept(new ServingEffect.Cut(flow.request().id()));
+            finish(flow, Outcome.LOST, "cut: " + message, now);
+            return;
+        }
+        if (flow.mayHaveRun()) {
+            ResultCode unknown =
+                    code.status() == ResultCode.DEADLINE_EXCEEDED.status() ? code : ResultCode.OUTCOME_UNKNOWN;
+            Refusal refusal = Refusal.unknown(unknown, Duration.ZERO, message);
+            effects.accept(new ServingEffect.Refuse(flow.request().id(), refusal));
+            finish(flow, Outcome.LOST, "refused " + unknown, now);
+            return;
+        }
+        Duration retryAfter = code == ResultCode.SHUTTING_DOWN ? Duration.ZERO : DEFAULT_RETRY_AFTER;
+        refuse(flow, code, retryAfter, message, now);
+    }
+
+    /**
      * Refuses a request as not run; applies only if no upstream has received it or all of them reported that they did
      * not run it.
      */
-private void refuse ( Flow flow , ResultCode code , Duration retryAfter , String message , Instant now ) {
-if ( flow.answerStarted ( ) || flow.mayHaveRun ( ) ) {
-fail ( flow , code , message , now );
-return;
-}
-effects.accept ( new ServingEffect.Refuse ( flow.request ( ).id ( ) , Refusal.notRun ( code , retryAfter , message ) ) );
-finish ( flow , Outcome.REFUSED , "refused " + code + ": " + message , now );
-}
-
-private void finish ( Flow flow , Outcome outcome , String reason , Instant now ) {
-RequestId id = flow.request ( ).id ( );
-steps.endRequest ( flow , now );
-flows.remove ( id );
-admissionDeadlines.remove ( id );
-Duration took = Duration.between ( flow.arrivedAt ( ) , now );
-effects.accept ( new ServingEffect.Finished ( id , flow.route ( ).id ( ).value ( ) , outcome , took ) );
-log.finish ( flow , outcome , reason , now );
-}
-
-void onCallerLeft ( RequestId id , Instant now ) {
-Flow flow = flows.get ( id );
-if ( flow == null ) {
-return;
-}
-cancelSend ( flow , now );
-finish ( flow , Outcome.LEFT , "caller disconnected" , now );
-}
-
-private void cancelSend ( Flow flow , Instant now ) {
-if ( flow.target ( ).isPresent ( ) ) {
-effects.accept ( new ServingEffect.CancelSend ( flow.request ( ).id ( ) , flow.attempt ( ) ) );
-finishReading ( flow );
-if ( ! flow.answerStarted ( ) && now.isAfter ( flow.sentAt ( ).plus ( flow.route ( ).latencyTarget ( ) ) ) ) {
-// An upstream that keeps a caller waiting past the latency target until it leaves counts as failed.
-addSample ( flow , true , now );
-}
-health.onCancelled ( flow.target ( ).get ( ).id ( ) );
-flow.clearTarget ( );
-}
-}
-
-/**
+    private void refuse(Flow flow, ResultCode code, Duration retryAfter, String message, Instant now) {
+        if (flow.answerStarted() || flow.mayHaveRun()) {
+            fail(flow, code, message, now);
+            return;
+        }
+        effects.accept(new ServingEffect.Refuse(flow.request().id(), Refusal.notRun(code, retryAfter, message)));
+        finish(flow, Outcome.REFUSED, "refused " + code + ": " + message, now);
+    }
+
+    private void finish(Flow flow, Outcome outcome, String reason, Instant now) {
+        RequestId id = flow.request().id();
+        steps.endRequest(flow, now);
+        flows.remove(id);
+        admissionDeadlines.remove(id);
+        Duration took = Duration.between(flow.arrivedAt(), now);
+        effects.accept(new ServingEffect.Finished(id, flow.route().id().value(), outcome, took));
+        log.finish(flow, outcome, reason, now);
+    }
+
+    void onCallerLeft(RequestId id, Instant now) {
+        Flow flow = flows.get(id);
+        if (flow == null) {
+            return;
+        }
+        cancelSend(flow, now);
+        finish(flow, Outcome.LEFT, "caller disconnected", now);
+    }
+
+    private void cancelSend(Flow flow, Instant now) {
+        if (flow.target().isPresent()) {
+            effects.accept(new ServingEffect.CancelSend(flow.request().id(), flow.attempt()));
+            finishReading(flow);
+            if (!flow.answerStarted()
+                    && now.isAfter(flow.sentAt().plus(flow.route().latencyTarget()))) {
+                // An upstream that keeps a caller waiting past the latency target until it leaves counts as failed.
+                addSample(flow, true, now);
+            }
+            health.onCancelled(flow.target().get().id());
+            flow.clearTarget();
+        }
+    }
+
+    /**
      * Refuses requests that are at no upstream and can no longer be answered before the shutdown: another node may
      * still serve them.
      */
-void refuseUnanswerable ( Instant now ) {
-for ( Flow flow : List.copyOf ( flows.values ( ) ) ) {
-boolean unsent = flow.target ( ).isEmpty ( ) && ! flow.answerStarted ( );
-if ( unsent && ! shutdown.enoughFor ( remainingTime.fromSending ( flow , now ) , now ) ) {
-refuse ( flow , ResultCode.SHUTTING_DOWN , Duration.ZERO , SHUTTING_DOWN_MESSAGE , now );
-}
-}
-}
-
-/**
+    void refuseUnanswerable(Instant now) {
+        for (Flow flow : List.copyOf(flows.values())) {
+            boolean unsent = flow.target().isEmpty() && !flow.answerStarted();
+            if (unsent && !shutdown.enoughFor(remainingTime.fromSending(flow, now), now)) {
+                refuse(flow, ResultCode.SHUTTING_DOWN, Duration.ZERO, SHUTTING_DOWN_MESSAGE, now);
+            }
+        }
+    }
+
+    /**
      * Gives every remaining request its final answer. Otherwise the connections would be closed without one, and
      * callers could not tell whether their requests were executed.
      */
-void failAll ( Instant now ) {
-for ( Flow flow : List.copyOf ( flows.values ( ) ) ) {
-cancelAttempt ( flow , now );
-fail ( flow , ResultCode.SHUTTING_DOWN , "node shuts down before the answer is complete" , now );
-}
-}
-
-void onTick ( Instant now ) {
-for ( Flow flow : List.copyOf ( flows.values ( ) ) ) {
-if ( flow.expired ( now ) ) {
-onDeadline ( flow , now );
-continue;
-}
-if ( ! flow.stepsCompleted ( ) ) {
-advance ( flow , now );
-}
-inputs.onTick ( flow , now );
-}
-for ( RequestId id : List.copyOf ( admissionDeadlines.keySet ( ) ) ) {
-Flow flow = flows.get ( id );
-if ( flow != null && flow.target ( ).isEmpty ( ) ) {
-send ( flow , now );
-}
-}
-}
-
-/** Cancels the current attempt, which may have been executed. Returns whether there was one. */
-private boolean cancelAttempt ( Flow flow , Instant now ) {
-boolean sent = flow.target ( ).isPresent ( );
-if ( sent && ! flow.mayHaveRun ( ) ) {
-flow.recordExecution ( );
-}
-cancelSend ( flow , now );
-return sent;
-}
-
-private void onDeadline ( Flow flow , Instant now ) {
-if ( flow.answerStarted ( ) ) {
-// A stream that lasted until its deadline is a valid duration sample; an upstream that hangs without an
-// answer is not.
-remainingTime.onAnswered ( flow , now );
-}
-boolean sent = cancelAttempt ( flow , now );
-if ( sent || flow.mayHaveRun ( ) ) {
-fail ( flow , ResultCode.DEADLINE_EXCEEDED , "the deadline has passed" , now );
-return;
-}
-refuse ( flow , ResultCode.DEADLINE_CANNOT_BE_MET , Duration.ZERO , "the deadline has passed before the request was executed" , now );
-}
+    void failAll(Instant now) {
+        for (Flow flow : List.copyOf(flows.values())) {
+            cancelAttempt(flow, now);
+            fail(flow, ResultCode.SHUTTING_DOWN, "node shuts down before the answer is complete", now);
+        }
+    }
+
+    void onTick(Instant now) {
+        for (Flow flow : List.copyOf(flows.values())) {
+            if (flow.expired(now)) {
+                onDeadline(flow, now);
+                continue;
+            }
+            if (!flow.stepsCompleted()) {
+                advance(flow, now);
+            }
+            inputs.onTick(flow, now);
+        }
+        for (RequestId id : List.copyOf(admissionDeadlines.keySet())) {
+            Flow flow = flows.get(id);
+            if (flow != null && flow.target().isEmpty()) {
+                send(flow, now);
+            }
+        }
+    }
+
+    /** Cancels the current attempt, which may have been executed. Returns whether there was one. */
+    private boolean cancelAttempt(Flow flow, Instant now) {
+        boolean sent = flow.target().isPresent();
+        if (sent && !flow.mayHaveRun()) {
+            flow.recordExecution();
+        }
+        cancelSend(flow, now);
+        return sent;
+    }
+
+    private void onDeadline(Flow flow, Instant now) {
+        if (flow.answerStarted()) {
+            // A stream that lasted until its deadline is a valid duration sample; an upstream that hangs without an
+            // answer is not.
+            remainingTime.onAnswered(flow, now);
+        }
+        boolean sent = cancelAttempt(flow, now);
+        if (sent || flow.mayHaveRun()) {
+            fail(flow, ResultCode.DEADLINE_EXCEEDED, "the deadline has passed", now);
+            return;
+        }
+        refuse(
+                flow,
+                ResultCode.DEADLINE_CANNOT_BE_MET,
+                Duration.ZERO,
+                "the deadline has passed before the request was executed",
+                now);
+    }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/StepTimes.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/StepTimes.java
@@ -15,58 +15,62 @@
  * target and the deadline.
  */
 final class StepTimes {
-/**
+    /**
      * Assumed reading speed of engines without measurements: rather too slow than too fast, so that no request
      * becomes late by it.
      */
-private static final int TOKENS_PER_MILLI = 20;
+    private static final int TOKENS_PER_MILLI = 20;
 
-/** Assumed time for connection, admission and the first token of engines without measurements. */
-private static final Duration ENGINE_START = Duration.ofMillis ( 60 );
+    /** Assumed time for connection, admission and the first token of engines without measurements. */
+    private static final Duration ENGINE_START = Duration.ofMillis(60);
 
-private final EngineTimes engines;
-private final PolicyFeatures features;
+    private final EngineTimes engines;
+    private final PolicyFeatures features;
 
-StepTimes ( EngineTimes engines , PolicyFeatures features ) {
-this.engines = engines;
-this.features = features;
-}
+    StepTimes(EngineTimes engines, PolicyFeatures features) {
+        this.engines = engines;
+        this.features = features;
+    }
 
-Urgency urgency ( Flow flow , Step step , ServingConfiguration configuration , Instant now ) {
-Duration remaining = timeAfter ( flow , step , configuration ).plus ( engineTime ( flow , now ) );
-Instant aim = flow.arrivedAt ( ).plus ( flow.route ( ).latencyTarget ( ) ).minus ( remaining );
-return new Urgency ( flow.rank ( ) , aim , flow.firstEventDeadline ( ).minus ( remaining ) );
-}
+    Urgency urgency(Flow flow, Step step, ServingConfiguration configuration, Instant now) {
+        Duration remaining = timeAfter(flow, step, configuration).plus(engineTime(flow, now));
+        Instant aim = flow.arrivedAt().plus(flow.route().latencyTarget()).minus(remaining);
+        return new Urgency(flow.rank(), aim, flow.firstEventDeadline().minus(remaining));
+    }
 
-/** The expected time of an engine to the first event of the answer. */
-Duration engineTime ( Flow flow , Instant now ) {
-int tokens = flow.request ( ).promptTokens ( );
-Duration assumed = ENGINE_START.plusMillis ( tokens / TOKENS_PER_MILLI );
-if ( ! features.uses ( PolicyFeature.OBSERVED_ENGINES ) ) {
-return assumed;
-}
-return engines.expected ( flow.pool ( ) , tokens , now ).orElse ( assumed );
-}
+    /** The expected time of an engine to the first event of the answer. */
+    Duration engineTime(Flow flow, Instant now) {
+        int tokens = flow.request().promptTokens();
+        Duration assumed = ENGINE_START.plusMillis(tokens / TOKENS_PER_MILLI);
+        if (!features.uses(PolicyFeature.OBSERVED_ENGINES)) {
+            return assumed;
+        }
+        return engines.expected(flow.pool(), tokens, now).orElse(assumed);
+    }
 
-/** The critical path through the steps after a given one. */
-private static Duration timeAfter ( Flow flow , Step step , ServingConfiguration configuration ) {
-Duration longest = Duration.ZERO;
-for ( Step next : flow.steps ( ) ) {
-if ( next.after ( ).contains ( step.number ( ) ) ) {
-Duration path = duration ( flow , next , configuration ).plus ( timeAfter ( flow , next , configuration ) );
-longest = path.compareTo ( longest ) > 0 ? path : longest;
-}
-}
-return longest;
-}
+    /** The critical path through the steps after a given one. */
+    private static Duration timeAfter(Flow flow, Step step, ServingConfiguration configuration) {
+        Duration longest = Duration.ZERO;
+        for (Step next : flow.steps()) {
+            if (next.after().contains(step.number())) {
+                Duration path = duration(flow, next, configuration).plus(timeAfter(flow, next, configuration));
+                longest = path.compareTo(longest) > 0 ? path : longest;
+            }
+        }
+        return longest;
+    }
 
-private static Duration duration ( Flow flow , Step step , ServingConfiguration configuration ) {
-int pieces = flow.request ( ).piecesOf ( step.number ( ) );
-return configuration.pool ( step.pool ( ) ).flatMap ( pool -> pool.pieces ( ) ).map ( contract -> fullCall ( contract , pieces ) ).orElse ( Duration.ZERO );
-}
+    private static Duration duration(Flow flow, Step step, ServingConfiguration configuration) {
+        int pieces = flow.request().piecesOf(step.number());
+        return configuration
+                .pool(step.pool())
+                .flatMap(pool -> pool.pieces())
+                .map(contract -> fullCall(contract, pieces))
+                .orElse(Duration.ZERO);
+    }
 
-/** Assumes full calls, as calls are full under the load at which urgency matters. */
-private static Duration fullCall ( BatchContract contract , int pieces ) {
-return contract.callOf ( Math.max ( contract.batch ( ) , pieces ) );
-}
+    /** Assumes full calls, as calls are full under the load at which urgency matters. */
+    private static Duration fullCall(BatchContract contract, int pieces) {
+        return contract.callOf(Math.max(contract.batch(), pieces));
+    }
 }
