--- a/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/Dispatcher.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/Dispatcher.java
@@ -132,7 +132,7 @@
         }
         RequestFlow flow = admitted.get();
         flows.put(request.id(), flow);
-        admission.entered(request.customer(), share(request));
+        admission.onAdmitted(request.customer(), share(request));
         retries.earn();
         hedges.earn();
         if (flow.idempotent()) {
@@ -295,12 +295,12 @@
             fail(flow, ResultCode.OUTCOME_UNKNOWN, message, now, effects);
             return;
         }
-        int most = flow.idempotent() ? policy.mostAttempts(flow.stage()) : UNSENT_ATTEMPTS;
+        int most = flow.idempotent() ? policy.maxAttempts(flow.stage()) : UNSENT_ATTEMPTS;
         if (flow.attemptsOfStage() >= most) {
             fail(flow, ResultCode.ATTEMPTS_FAILED, flow.lastFailure(), now, effects);
             return;
         }
-        if (policy.budgetsRetries() && !retries.spend()) {
+        if (policy.budgetsRetries() && !retries.tryAcquire()) {
             fail(flow, ResultCode.RETRY_BUDGET_SPENT, flow.lastFailure(), now, effects);
             return;
         }
@@ -387,7 +387,7 @@
             queue(flow.stage().pool()).remove(flow);
         }
         flows.remove(flow.request().id());
-        admission.left(flow.request().customer());
+        admission.onAnswered(flow.request().customer());
     }
 
     private void enqueue(RequestFlow flow, Instant now, Effects effects) {
@@ -583,7 +583,7 @@
                 || !flows.containsKey(flow.request().id())) {
             return;
         }
-        if (flow.attemptsOfStage() >= policy.mostAttempts(stage) || mayBeCut(flow, now)) {
+        if (flow.attemptsOfStage() >= policy.maxAttempts(stage) || mayBeCut(flow, now)) {
             return;
         }
         boolean streams = stage.work() == StageWork.GENERATE;
@@ -596,7 +596,7 @@
         Set<VmId> excluded = new HashSet<>(flow.tried());
         excluded.add(live.attempt().upstream().id());
         Choice choice = policy.choose(stage, flow.request().prefix(), excluded, now);
-        if (choice.upstream().isEmpty() || !hedges.spend()) {
+        if (choice.upstream().isEmpty() || !hedges.tryAcquire()) {
             return;
         }
         Vm rival = choice.upstream().get();
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/BranchTiming.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/BranchTiming.java
@@ -72,7 +72,7 @@
         if (known.containsKey(step.number())) {
             return known.get(step.number());
         }
-        Optional<Duration> remaining = durations.usual(flow.route().id(), step.number());
+        Optional<Duration> remaining = durations.median(flow.route().id(), step.number());
         Optional<Instant> orderedAt = flow.orderedAt(step);
         if (orderedAt.isPresent()) {
             Duration since = Duration.between(orderedAt.get(), now);
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/RequestFlows.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/RequestFlows.java
@@ -206,7 +206,7 @@
         }
         PathEstimate.Path estimate =
                 pathEstimate.estimate(flow, configuration, (pool, rank) -> steps.waitOf(pool, rank, now), now);
-        Duration excess = estimate.total().minus(flow.route().aim()).minus(BatchScheduler.LATE_GRACE);
+        Duration excess = estimate.total().minus(flow.route().latencyTarget()).minus(BatchScheduler.LATE_GRACE);
         // A retry that comes after its latency target must not be refused for missing it while its pools are idle.
         if (estimate.waits().isZero() || !excess.isPositive()) {
             return false;
@@ -343,7 +343,7 @@
     }
 
     private void waitForUpstream(Flow flow, Instant now) {
-        Duration maxWait = flow.route().aim().dividedBy(ADMISSION_WAIT_DIVISOR);
+        Duration maxWait = flow.route().latencyTarget().dividedBy(ADMISSION_WAIT_DIVISOR);
         Instant until = admissionDeadlines.computeIfAbsent(flow.request().id(), id -> now.plus(maxWait));
         if (!now.isBefore(until)) {
             fail(
@@ -359,7 +359,7 @@
         flow.startAttempt(upstream, lastAttempt, now);
         health.onStarted(upstream.id(), now);
         warmupLimiter.onSent(upstream.id(), now);
-        long keptTokens = chooser.kept(upstream, prompt, now);
+        long keptTokens = chooser.cachedTokens(upstream, prompt, now);
         chooser.onSent(upstream.id(), prompt, now);
         boolean stream = flow.route().kind() == RouteKind.STREAM;
         effects.accept(new ServingEffect.Send(new SendOrder(
@@ -406,7 +406,7 @@
         if (flow.finishReading()) {
             flow.target()
                     .ifPresent(upstream ->
-                            chooser.onRead(upstream.id(), flow.request().promptTokens()));
+                            chooser.onPromptRead(upstream.id(), flow.request().promptTokens()));
         }
     }
 
@@ -475,7 +475,7 @@
 
     /** Retries a request that was not executed at another upstream. */
     private void retryElsewhere(Flow flow, Instant now) {
-        boolean retry = flow.attempts() < MAX_ATTEMPTS && budget(flow.pool()).spend(now);
+        boolean retry = flow.attempts() < MAX_ATTEMPTS && budget(flow.pool()).tryAcquire(now);
         if (retry) {
             send(flow, now);
             return;
@@ -519,7 +519,7 @@
                 && flow.executions() < flow.route().attempts()
                 && now.isBefore(flow.deadline())
                 && shutdown.enoughFor(remainingTime.fromSending(flow, now), now);
-        return allowed && budget(flow.pool()).spend(now);
+        return allowed && budget(flow.pool()).tryAcquire(now);
     }
 
     /** Ends a request that cannot be served, with the answer that its state allows: cut, unknown outcome or not run. */
@@ -578,7 +578,7 @@
             effects.accept(new ServingEffect.CancelSend(flow.request().id(), flow.attempt()));
             finishReading(flow);
             if (!flow.answerStarted()
-                    && now.isAfter(flow.sentAt().plus(flow.route().aim()))) {
+                    && now.isAfter(flow.sentAt().plus(flow.route().latencyTarget()))) {
                 // An upstream that keeps a caller waiting past the latency target until it leaves counts as failed.
                 addSample(flow, true, now);
             }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/Serving.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/Serving.java
@@ -166,7 +166,7 @@
         if (shutdown.outOfTime(now)) {
             flows.failAll(now);
             // Unreleased results would occupy room at their stage servers, for all nodes, until their lifetime ends.
-            orders.scheduler().releaseAtOnce();
+            orders.scheduler().flushReleases();
         }
     }
 
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/StepOrders.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/StepOrders.java
@@ -158,7 +158,7 @@
                         order.resultBytes(),
                         order.near(),
                         order.urgency().rank(),
-                        Duration.between(now, order.urgency().aim()),
+                        Duration.between(now, order.urgency().targetTime()),
                         Duration.between(now, order.urgency().deadline()))));
     }
 
@@ -269,7 +269,7 @@
      * last of these orders is done.
      */
     private boolean returnedByScheduler(PendingOrder entry) {
-        return entry.scheduler.equals(self.vm()) && scheduler.giveBack(entry.order.id());
+        return entry.scheduler.equals(self.vm()) && scheduler.withdrawIfUnstarted(entry.order.id());
     }
 
     /** The other nodes that have orders of this node. */
@@ -323,7 +323,7 @@
         }
 
         @Override
-        public void decided(Decision decision) {
+        public void logDecision(Decision decision) {
             effects.accept(new ServingEffect.LogDecision(decision));
         }
     }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/StepTimes.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/StepTimes.java
@@ -34,7 +34,7 @@
 
     Urgency urgency(Flow flow, Step step, ServingConfiguration configuration, Instant now) {
         Duration remaining = timeAfter(flow, step, configuration).plus(engineTime(flow, now));
-        Instant aim = flow.arrivedAt().plus(flow.route().aim()).minus(remaining);
+        Instant aim = flow.arrivedAt().plus(flow.route().latencyTarget()).minus(remaining);
         return new Urgency(flow.rank(), aim, flow.firstEventDeadline().minus(remaining));
     }
 
--- a/wagtaillug-core/src/test/java/org/wagtaillug/admission/AdmissionTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/admission/AdmissionTest.java
@@ -11,33 +11,33 @@
     private static final CustomerId SMALL = new CustomerId("small");
 
     @Test
-    void theBurstOfALargeCustomerLeavesRoomForASmallOne() {
-        // A large customer sends five times its usual; a small one asks at the same time. Without shares the small one
-        // finds the node full and is refused for what the large one did.
+    void aBurstOfALargeCustomerLeavesCapacityForASmallOne() {
+        // A large customer sends five times its usual load while a small one sends requests too. Without shares, the
+        // burst would fill the node and the requests of the small customer would be refused.
         Admission admission = new Admission(100);
-        admission.entered(SMALL, 1);
+        admission.onAdmitted(SMALL, 1);
         int admitted = 0;
-        while (admission.obstacle(LARGE, 4).isEmpty()) {
-            admission.entered(LARGE, 4);
+        while (admission.refusalReason(LARGE, 4).isEmpty()) {
+            admission.onAdmitted(LARGE, 4);
             admitted++;
         }
         assertThat(admitted).isEqualTo(80);
-        assertThat(admission.obstacle(LARGE, 4).get()).isEqualTo(ResultCode.CUSTOMER_OVER_SHARE);
+        assertThat(admission.refusalReason(LARGE, 4).get()).isEqualTo(ResultCode.CUSTOMER_OVER_SHARE);
         for (int more = 0; more < 19; more++) {
-            assertThat(admission.obstacle(SMALL, 1).isEmpty()).isTrue();
-            admission.entered(SMALL, 1);
+            assertThat(admission.refusalReason(SMALL, 1).isEmpty()).isTrue();
+            admission.onAdmitted(SMALL, 1);
         }
-        assertThat(admission.obstacle(SMALL, 1).isDefined()).isTrue();
+        assertThat(admission.refusalReason(SMALL, 1).isDefined()).isTrue();
     }
 
     @Test
-    void aCustomerThatIsAloneMayFillTheNode() {
+    void aSingleActiveCustomerMayUseTheWholeCapacity() {
         Admission admission = new Admission(10);
-        while (admission.obstacle(LARGE, 1).isEmpty()) {
-            admission.entered(LARGE, 1);
+        while (admission.refusalReason(LARGE, 1).isEmpty()) {
+            admission.onAdmitted(LARGE, 1);
         }
         assertThat(admission.total()).isEqualTo(10);
-        admission.left(LARGE);
-        assertThat(admission.obstacle(LARGE, 1).isEmpty()).isTrue();
+        admission.onAnswered(LARGE);
+        assertThat(admission.refusalReason(LARGE, 1).isEmpty()).isTrue();
     }
 }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/retry/RetryBudgetTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/retry/RetryBudgetTest.java
@@ -10,24 +10,24 @@
     private static final Instant NOW = Instant.parse("2026-01-01T00:00:00Z");
 
     @Test
-    void noWindowHasMoreThanItsShare() {
-        // A pool fails as a whole while callers go on asking. Every request would be tried twice, and the pool would
-        // face twice its load when it comes back.
+    void noWindowExceedsTheBudget() {
+        // A whole pool fails under continuing load. Without a budget, every request would be attempted twice, and the
+        // pool would face twice its normal load on recovery.
         RetryBudget budget = new RetryBudget(Duration.ofSeconds(10), 0.2, 4, () -> 1);
         int spent = 0;
         for (int request = 0; request < 100; request++) {
             Instant now = NOW.plusMillis(request * 50L);
             budget.onRequest(now);
-            spent += budget.spend(now) ? 1 : 0;
+            spent += budget.tryAcquire(now) ? 1 : 0;
         }
         assertThat(spent).isEqualTo(24);
     }
 
     @Test
-    void whatWasSpentComesBackAfterTheWindow() {
+    void spentRetriesAreAvailableAgainAfterTheWindow() {
         RetryBudget budget = new RetryBudget(Duration.ofSeconds(10), 0.2, 1, () -> 1);
-        assertThat(budget.spend(NOW)).isTrue();
-        assertThat(budget.spend(NOW.plusSeconds(10))).isFalse();
-        assertThat(budget.spend(NOW.plusMillis(10_001))).isTrue();
+        assertThat(budget.tryAcquire(NOW)).isTrue();
+        assertThat(budget.tryAcquire(NOW.plusSeconds(10))).isFalse();
+        assertThat(budget.tryAcquire(NOW.plusMillis(10_001))).isTrue();
     }
 }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/LoadWorld.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/LoadWorld.java
@@ -249,7 +249,7 @@
         pools.put(RETRIEVE, stage(RETRIEVE, 17, 7.529, 2_805_000));
         pools.put(RERANK, stage(RERANK, 44, 2.9545, 783_200));
         pools.put(MODEL, new PoolProfile(MODEL, 370, 0, Optional.empty(), true));
-        return new ServingConfiguration(1, new RouteTable(routes), pools, CallerLimits.USUAL, Map.of());
+        return new ServingConfiguration(1, new RouteTable(routes), pools, CallerLimits.DEFAULTS, Map.of());
     }
 
     private static PoolProfile stage(PoolId pool, int batch, double pieceMillis, long room) {
@@ -352,7 +352,7 @@
         List<PieceAnswer> answers = new ArrayList<>();
         for (BatchCall.Item item : call.items()) {
             long bytes = CHAIN.get(item.step()).resultBytes();
-            if (server.used + bytes > server.contract.roomBytes()) {
+            if (server.used + bytes > server.contract.resultCapacityBytes()) {
                 answers.add(new PieceAnswer.NoRoom());
                 continue;
             }
