--- a/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/Attempt.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/Attempt.java
@@ -9,17 +9,17 @@
 import org.wagtaillug.result.Payload;
 
 /**
- * One call to one upstream, with all that the sender needs.
+ * One call to one upstream, with everything that the sender needs.
  *
- * @param id names it on the wire; an answer with another name is not its answer
- * @param stage what is done
- * @param upstream who does it
- * @param input the output of the stage before, or the request's body for the first stage
- * @param startBefore no byte may be sent at or after this time: the grant it uses has run out then
- * @param deadline the attempt is given up at this time
- * @param priority 0 to 9, 9 most urgent
- * @param key the idempotency key to hand on; empty for idempotent work
- * @param onNewConnection whether it may not use a connection that is open already
+ * @param id identifies the attempt on the wire; a response with another id is not accepted
+ * @param stage the stage that it executes
+ * @param upstream the upstream that is called
+ * @param input the output of the previous stage, or the request's body for the first stage
+ * @param startBefore no byte may be sent at or after this time, because the grant that it uses has expired by then
+ * @param deadline the attempt is cancelled at this time
+ * @param priority 0 to 9, where 9 is the most urgent
+ * @param key the idempotency key to forward; empty for idempotent work
+ * @param onNewConnection whether it must open a new connection instead of reusing one
  */
 public record Attempt(
         AttemptId id,
--- a/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/AttemptEnd.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/AttemptEnd.java
@@ -5,30 +5,30 @@
 /** How an attempt ended. */
 public sealed interface AttemptEnd {
     /**
-     * The whole answer came, with the right ids.
+     * The complete response was received, with matching ids.
      *
-     * @param output the stage's output
+     * @param output the output of the stage
      */
     record Completed(Payload output) implements AttemptEnd {}
 
-    /** The upstream refused before it did anything: overloaded. */
+    /** The upstream was overloaded and refused the request before doing any work. */
     record Overloaded() implements AttemptEnd {}
 
     /**
-     * The upstream says that the request is wrong; another would say so too.
+     * The upstream rejected the request as invalid; any other upstream would reject it too.
      *
-     * @param message what it said
+     * @param message the error message of the upstream
      */
     record Rejected(String message) implements AttemptEnd {}
 
     /**
-     * The connection failed, broke or fell silent, or the answer was no answer to this attempt.
+     * The connection could not be made, broke or timed out, or the response did not belong to this attempt.
      *
      * @param byteLeft whether a byte of the request may have reached the upstream
-     * @param message what happened
+     * @param message a description of the failure
      */
     record Failed(boolean byteLeft, String message) implements AttemptEnd {}
 
-    /** It was not sent in time: see {@link Attempt#startBefore()}. */
+    /** It was not sent before its start limit; see {@link Attempt#startBefore()}. */
     record NotStarted() implements AttemptEnd {}
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/DispatchDecisions.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/DispatchDecisions.java
@@ -4,14 +4,14 @@
 import org.wagtaillug.result.Refusal;
 import org.wagtaillug.routing.Choice;
 
-/** The dispatcher's decisions as the log shows them. */
+/** Builds the log entries of the dispatcher's decisions. */
 final class DispatchDecisions {
     private DispatchDecisions() {}
 
     /**
      * An attempt was started.
      *
-     * @param kind {@code route} for the first of a stage and for retries, {@code hedge} for a rival
+     * @param kind {@code route} for the first attempt of a stage and for retries, {@code hedge} for a hedged attempt
      */
     static Decision started(String kind, Attempt attempt, Choice choice) {
         Decision.Builder builder = Decision.builder(kind)
--- a/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/DispatchLimits.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/DispatchLimits.java
@@ -1,13 +1,13 @@
 package org.wagtaillug.dispatch;
 
 /**
- * What one node lets itself do at most.
+ * Limits of one node's dispatcher.
  *
- * @param requestsInFlight requests at once; default 400
- * @param retryShare retries per request, 0 to 1; default 0.2
- * @param hedgeShare hedges per request, 0 to 1; default 0.05
+ * @param requestsInFlight the maximum number of requests in flight; default 400
+ * @param retryShare the retry budget: retries per request, 0 to 1; default 0.2
+ * @param hedgeShare the hedging budget: hedged attempts per request, 0 to 1; default 0.05
  */
 public record DispatchLimits(int requestsInFlight, double retryShare, double hedgeShare) {
-    /** The defaults above. */
+    /** The default limits. */
     public static final DispatchLimits DEFAULTS = new DispatchLimits(400, 0.2, 0.05);
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/Dispatcher.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/Dispatcher.java
@@ -35,30 +35,31 @@
 import org.wagtaillug.routing.Upstreams;
 
 /**
- * Takes each request through its stages to its one answer.
+ * Takes each request through the stages of its template to exactly one response.
  *
- * <p>A request is refused as soon as it is clear that it cannot be served; nothing is held back. What runs once only is
- * sent to one upstream, after the claim of its key was won, and never again after a byte may have left.
+ * <p>A request is refused as soon as it is known that it cannot be served. A non-idempotent request is sent only after
+ * this node has won the claim of its idempotency key, and is never sent again once a byte of it may have reached an
+ * upstream.
  */
 public final class Dispatcher {
     /**
-     * Owners that hear nothing of a holder count on it that no attempt outlives this; see {@link
-     * GrantOwner#LONGEST_ATTEMPT}. What must happen once is not cut short for it: its caller would be told "unknown" of a
-     * call that is about to end well.
+     * Owners that have lost contact with a grant holder rely on no attempt taking longer than this; see
+     * {@link GrantOwner#LONGEST_ATTEMPT}. Not applied to non-idempotent requests: it would report an unknown
+     * outcome for a call that may be about to succeed.
      */
-    private static final Duration LONGEST_ATTEMPT = GrantOwner.LONGEST_ATTEMPT;
+    private static final Duration MAX_ATTEMPT_DURATION = GrantOwner.LONGEST_ATTEMPT;
 
     private static final double HEDGE_QUANTILE = 0.95;
-    private static final int UNSENT_ATTEMPTS = 3;
+    private static final int MAX_UNSENT_ATTEMPTS = 3;
 
     private final Configuration configuration;
     private final Upstreams upstreams;
     private final RoutingPolicy policy;
-    private final OnceOnly onceOnly;
+    private final OnceOnly claims;
     private final Drain drain;
     private final Admission admission;
-    private final Estimates estimates;
-    private final Intake intake;
+    private final LatencyEstimates estimates;
+    private final RequestAdmission requestAdmission;
     private final AttemptBudget retries;
     private final AttemptBudget hedges;
 
@@ -66,66 +67,66 @@
     private final Map<AttemptId, LiveAttempt> attempts = new LinkedHashMap<>();
     private final Map<PoolId, WaitingQueue> queues = new LinkedHashMap<>();
     private final PoolDemands demands = new PoolDemands();
-    private long foreignAnswers;
+    private long unmatchedEvents;
 
     /**
-     * Starts with nothing in flight.
+     * Creates a dispatcher without requests in flight.
      *
-     * @param limits what this node lets itself do
-     * @param configuration what is in force
-     * @param upstreams what is known of upstreams
-     * @param policy how upstreams are chosen
-     * @param onceOnly claims keys of requests that must run once
-     * @param drain tells what is left when the node was asked to end
+     * @param limits the limits of this node
+     * @param configuration the active configuration
+     * @param upstreams the state of the upstreams
+     * @param policy selects upstreams
+     * @param claims acquires the claims of idempotency keys
+     * @param drain the state of the shutdown, with the remaining time
      */
     public Dispatcher(
             DispatchLimits limits,
             Configuration configuration,
             Upstreams upstreams,
             RoutingPolicy policy,
-            OnceOnly onceOnly,
+            OnceOnly claims,
             Drain drain) {
         this.configuration = configuration;
         this.upstreams = upstreams;
         this.policy = policy;
-        this.onceOnly = onceOnly;
+        this.claims = claims;
         this.drain = drain;
         this.admission = new Admission(limits.requestsInFlight());
-        this.estimates = new Estimates(upstreams);
-        this.intake = new Intake(configuration, upstreams, policy, admission, estimates, drain);
+        this.estimates = new LatencyEstimates(upstreams);
+        this.requestAdmission = new RequestAdmission(configuration, upstreams, policy, admission, estimates, drain);
         this.retries = new AttemptBudget(limits.retryShare());
         this.hedges = new AttemptBudget(limits.hedgeShare());
     }
 
-    /** Whether a request of this id is in flight; another of the same id must not be handed in then. */
+    /** Whether a request with this id is in flight; while it is, the id must not be used for another request. */
     public boolean inFlight(RequestId request) {
         return flows.containsKey(request);
     }
 
-    /** How many requests have no answer yet. */
+    /** The number of requests that have not been answered yet. */
     public int requestsInFlight() {
         return flows.size();
     }
 
-    /** Whether nothing is in flight, also no attempt that outlived its request. */
+    /** Whether no request and no attempt is in flight, including attempts whose request has already been answered. */
     public boolean idle() {
         return flows.isEmpty() && attempts.isEmpty();
     }
 
-    /** How many answers came for no attempt in flight. */
-    public long foreignAnswers() {
-        return foreignAnswers;
+    /** The number of attempt events that matched no attempt in flight. */
+    public long unmatchedEvents() {
+        return unmatchedEvents;
     }
 
-    /** Takes in a request, or refuses it. */
+    /** Admits a request and starts or queues it, or refuses it. */
     public void onRequest(Request request, Instant now, Effects effects) {
         if (flows.containsKey(request.id())) {
             return;
         }
-        Either<Intake.Refused, RequestFlow> admitted =
-                intake.admit(request, pool -> queue(pool).size(), now);
+        Either<RequestAdmission.Refused, RequestFlow> admitted =
+                requestAdmission.admit(request, pool -> queue(pool).size(), now);
         if (admitted.isLeft()) {
-            Intake.Refused refused = admitted.getLeft();
+            RequestAdmission.Refused refused = admitted.getLeft();
             effects.add(new Effect.AnswerRefused(request.id(), refused.templateVersion(), refused.refusal()));
             effects.add(new Effect.LogDecision(DispatchDecisions.refused(request, refused.refusal())));
             return;
@@ -140,7 +141,7 @@
             return;
         }
         flow.markAwaitingClaim();
-        onceOnly.ask(request.id(), request.key().orElseThrow(), request.bodyDigest(), flow.deadline(), now, effects);
+        claims.ask(request.id(), request.key().orElseThrow(), request.bodyDigest(), flow.deadline(), now, effects);
     }
 
     private double share(Request request) {
@@ -150,18 +151,18 @@
                 .orElse(1.0);
     }
 
-    /** This node won the claim of the request's key: it alone sends, now. */
+    /** This node has won the claim of the request's key and may send the request. */
     public void onClaimWon(RequestId id, Instant now, Effects effects) {
         RequestFlow flow = flows.get(id);
         if (flow == null) {
-            onceOnly.abandon(id, now, effects);
+            claims.abandon(id, now, effects);
             return;
         }
         flow.markClaimed();
         enqueue(flow, now, effects);
     }
 
-    /** The key ran before: its outcome is repeated. */
+    /** The key has a recorded outcome, which is returned again. */
     public void onClaimRecorded(
             RequestId id, ResultCode code, RunState run, Payload output, Instant now, Effects effects) {
         RequestFlow flow = flows.get(id);
@@ -169,13 +170,13 @@
             return;
         }
         if (code == ResultCode.SERVED) {
-            serve(flow, output, effects);
+            answerServed(flow, output, effects);
             return;
         }
-        answerRefused(flow, new Refusal(code, run, Duration.ZERO, "the recorded outcome of this key"), effects);
+        answerRefused(flow, new Refusal(code, run, Duration.ZERO, "recorded outcome of this idempotency key"), effects);
     }
 
-    /** The key cannot be claimed. */
+    /** The claim of the key was refused. */
     public void onClaimRefused(RequestId id, Refusal refusal, Instant now, Effects effects) {
         RequestFlow flow = flows.get(id);
         if (flow != null) {
@@ -183,33 +184,36 @@
         }
     }
 
-    /** The caller takes no answer any more. What must happen once goes on; the rest is given up. */
+    /**
+     * The caller has disconnected. A non-idempotent request that may have been sent continues; all others are
+     * cancelled.
+     */
     public void onCallerLeft(RequestId id, Instant now, Effects effects) {
         RequestFlow flow = flows.get(id);
         if (flow == null) {
             return;
         }
-        fail(flow, ResultCode.DEADLINE_EXCEEDED, "the caller left", now, effects);
+        fail(flow, ResultCode.DEADLINE_EXCEEDED, "the caller disconnected", now, effects);
     }
 
-    /** An attempt made progress. */
+    /** An attempt has made progress. */
     public void onProgress(AttemptId id, Instant now) {
         LiveAttempt live = attempts.get(id);
         if (live == null) {
-            foreignAnswers++;
+            unmatchedEvents++;
             return;
         }
         if (!live.progressed()) {
             upstreams.progressed(live.attempt().upstream().id(), Duration.between(live.startedAt(), now), now);
         }
-        live.progress(now);
+        live.onProgress(now);
     }
 
-    /** An attempt is over. */
+    /** An attempt has ended. */
     public void onEnded(AttemptId id, AttemptEnd end, Instant now, Effects effects) {
         LiveAttempt live = attempts.remove(id);
         if (live == null) {
-            foreignAnswers++;
+            unmatchedEvents++;
             return;
         }
         RequestFlow flow = live.flow();
@@ -217,19 +221,19 @@
         Duration took = Duration.between(live.startedAt(), now);
         upstreams.finished(live.attempt().upstream().id(), finish(live, end), took, now);
         if (end instanceof AttemptEnd.Completed) {
-            estimates.completed(live.attempt().stage().pool(), now);
+            estimates.onCompleted(live.attempt().stage().pool(), now);
         }
         if (flows.containsKey(flow.request().id())) {
-            goOn(live, end, now, effects);
+            onCurrentStageEnded(live, end, now, effects);
         } else if (flow.claimed()) {
-            settleLate(flow, end, now, effects);
+            recordLateOutcome(flow, end, now, effects);
         }
-        pump(live.attempt().stage().pool(), now, effects);
+        dispatchQueued(live.attempt().stage().pool(), now, effects);
     }
 
     /**
-     * What an end says of the upstream. Only an attempt that fell silent may still be running there; a refused, reset or
-     * useless one is over, and may mean that the upstream has just started.
+     * Maps the end of an attempt to the result that is recorded for its upstream. Only a stalled attempt may still be
+     * running there. A refused, reset or invalid one has ended, and may mean that the upstream has just started.
      */
     private static Finish finish(LiveAttempt live, AttemptEnd end) {
         if (live.stalled()) {
@@ -244,7 +248,7 @@
         };
     }
 
-    private void goOn(LiveAttempt live, AttemptEnd end, Instant now, Effects effects) {
+    private void onCurrentStageEnded(LiveAttempt live, AttemptEnd end, Instant now, Effects effects) {
         RequestFlow flow = live.flow();
         boolean current = live.attempt().stage().id().equals(flow.stage().id());
         if (!current) {
@@ -253,8 +257,8 @@
         switch (end) {
             case AttemptEnd.Completed completed -> succeed(flow, completed.output(), now, effects);
             case AttemptEnd.Rejected rejected -> reject(flow, rejected.message(), now, effects);
-            case AttemptEnd.Overloaded ignored -> tryAgain(live, "overloaded", false, now, effects);
-            case AttemptEnd.Failed failed -> tryAgain(live, failed.message(), failed.byteLeft(), now, effects);
+            case AttemptEnd.Overloaded ignored -> retry(live, "overloaded", false, now, effects);
+            case AttemptEnd.Failed failed -> retry(live, failed.message(), failed.byteLeft(), now, effects);
             case AttemptEnd.NotStarted ignored -> enqueueUnlessLive(flow, now, effects);
         }
     }
@@ -267,23 +271,23 @@
             return;
         }
         if (flow.claimed()) {
-            onceOnly.settled(flow.request().id(), ResultCode.SERVED, RunState.RUN, output, now, effects);
+            claims.settled(flow.request().id(), ResultCode.SERVED, RunState.RUN, output, now, effects);
         }
-        serve(flow, output, effects);
+        answerServed(flow, output, effects);
     }
 
     private void reject(RequestFlow flow, String message, Instant now, Effects effects) {
         cancelLive(flow, effects);
         RunState run = flow.sent() ? RunState.UNKNOWN : RunState.NOT_RUN;
         if (flow.claimed()) {
-            onceOnly.settled(flow.request().id(), ResultCode.UPSTREAM_REJECTED, run, Payload.EMPTY, now, effects);
+            claims.settled(flow.request().id(), ResultCode.UPSTREAM_REJECTED, run, Payload.EMPTY, now, effects);
         }
         answerRefused(flow, new Refusal(ResultCode.UPSTREAM_REJECTED, run, Duration.ZERO, message), effects);
     }
 
-    private void tryAgain(LiveAttempt live, String message, boolean byteLeft, Instant now, Effects effects) {
+    private void retry(LiveAttempt live, String message, boolean byteLeft, Instant now, Effects effects) {
         RequestFlow flow = live.flow();
-        flow.noteFailure(live.attempt().upstream().id() + ": " + message);
+        flow.recordFailure(live.attempt().upstream().id() + ": " + message);
         flow.tried().add(live.attempt().upstream().id());
         if (byteLeft) {
             flow.markSent();
@@ -295,8 +299,8 @@
             fail(flow, ResultCode.OUTCOME_UNKNOWN, message, now, effects);
             return;
         }
-        int most = flow.idempotent() ? policy.mostAttempts(flow.stage()) : UNSENT_ATTEMPTS;
-        if (flow.attemptsOfStage() >= most) {
+        int maxAttempts = flow.idempotent() ? policy.mostAttempts(flow.stage()) : MAX_UNSENT_ATTEMPTS;
+        if (flow.attemptsInStage() >= maxAttempts) {
             fail(flow, ResultCode.ATTEMPTS_FAILED, flow.lastFailure(), now, effects);
             return;
         }
@@ -314,26 +318,26 @@
     }
 
     /**
-     * Records what came of work that must happen once after its caller was told that nobody knows. Guards against a
-     * second run: a caller that asks again with the key gets this outcome in place of the unknown.
+     * Records the outcome of a non-idempotent request after its caller was told that the outcome is unknown. Guards
+     * against a second execution: a caller that retries with the key receives this outcome.
      */
-    private void settleLate(RequestFlow flow, AttemptEnd end, Instant now, Effects effects) {
+    private void recordLateOutcome(RequestFlow flow, AttemptEnd end, Instant now, Effects effects) {
         RequestId id = flow.request().id();
         switch (end) {
             case AttemptEnd.Completed completed ->
-                onceOnly.settled(id, ResultCode.SERVED, RunState.RUN, completed.output(), now, effects);
+                claims.settled(id, ResultCode.SERVED, RunState.RUN, completed.output(), now, effects);
             case AttemptEnd.Failed failed
             when failed.byteLeft() ->
-                onceOnly.settled(id, ResultCode.OUTCOME_UNKNOWN, RunState.UNKNOWN, Payload.EMPTY, now, effects);
+                claims.settled(id, ResultCode.OUTCOME_UNKNOWN, RunState.UNKNOWN, Payload.EMPTY, now, effects);
             case AttemptEnd.Rejected ignored ->
-                onceOnly.settled(id, ResultCode.UPSTREAM_REJECTED, RunState.NOT_RUN, Payload.EMPTY, now, effects);
-            case AttemptEnd.Failed ignored -> onceOnly.abandon(id, now, effects);
-            case AttemptEnd.Overloaded ignored -> onceOnly.abandon(id, now, effects);
-            case AttemptEnd.NotStarted ignored -> onceOnly.abandon(id, now, effects);
+                claims.settled(id, ResultCode.UPSTREAM_REJECTED, RunState.NOT_RUN, Payload.EMPTY, now, effects);
+            case AttemptEnd.Failed ignored -> claims.abandon(id, now, effects);
+            case AttemptEnd.Overloaded ignored -> claims.abandon(id, now, effects);
+            case AttemptEnd.NotStarted ignored -> claims.abandon(id, now, effects);
         }
     }
 
-    /** Gives a request up: its caller is told at once what is known of it. */
+    /** Fails a request and immediately reports to its caller what is known of its execution. */
     private void fail(RequestFlow flow, ResultCode code, String message, Instant now, Effects effects) {
         boolean mayHaveRun = flow.sent() || flow.awaitingClaim() || !flow.live().isEmpty();
         RunState run = mayHaveRun ? RunState.UNKNOWN : RunState.NOT_RUN;
@@ -343,17 +347,17 @@
             closeClaim(flow, mayHaveRun, now, effects);
         }
         Duration retryAfter = retryAfter(flow.stage().pool(), now);
-        ResultCode shown = flow.claimed() && mayHaveRun ? ResultCode.OUTCOME_UNKNOWN : code;
-        answerRefused(flow, new Refusal(shown, run, retryAfter, message), effects);
+        ResultCode reported = flow.claimed() && mayHaveRun ? ResultCode.OUTCOME_UNKNOWN : code;
+        answerRefused(flow, new Refusal(reported, run, retryAfter, message), effects);
     }
 
     private void closeClaim(RequestFlow flow, boolean mayHaveRun, Instant now, Effects effects) {
         RequestId id = flow.request().id();
         if (mayHaveRun) {
-            onceOnly.settled(id, ResultCode.OUTCOME_UNKNOWN, RunState.UNKNOWN, Payload.EMPTY, now, effects);
+            claims.settled(id, ResultCode.OUTCOME_UNKNOWN, RunState.UNKNOWN, Payload.EMPTY, now, effects);
             return;
         }
-        onceOnly.abandon(id, now, effects);
+        claims.abandon(id, now, effects);
     }
 
     private void cancelLive(RequestFlow flow, Effects effects) {
@@ -370,19 +374,19 @@
         effects.add(new Effect.CancelAttempt(live.attempt().id()));
     }
 
-    private void serve(RequestFlow flow, Payload output, Effects effects) {
-        forget(flow);
+    private void answerServed(RequestFlow flow, Payload output, Effects effects) {
+        removeFlow(flow);
         effects.add(new Effect.AnswerServed(flow.request().id(), flow.template().version(), output));
     }
 
     private void answerRefused(RequestFlow flow, Refusal refusal, Effects effects) {
-        forget(flow);
+        removeFlow(flow);
         effects.add(
                 new Effect.AnswerRefused(flow.request().id(), flow.template().version(), refusal));
         effects.add(new Effect.LogDecision(DispatchDecisions.refused(flow.request(), refusal)));
     }
 
-    private void forget(RequestFlow flow) {
+    private void removeFlow(RequestFlow flow) {
         if (flow.waiting()) {
             queue(flow.stage().pool()).remove(flow);
         }
@@ -393,23 +397,23 @@
     private void enqueue(RequestFlow flow, Instant now, Effects effects) {
         PoolId pool = flow.stage().pool();
         queue(pool).add(flow);
-        pump(pool, now, effects);
+        dispatchQueued(pool, now, effects);
     }
 
     private WaitingQueue queue(PoolId pool) {
         return queues.computeIfAbsent(pool, ignored -> new WaitingQueue());
     }
 
-    /** Starts attempts of a pool's waiting requests for as long as there is an upstream that may take one. */
-    private void pump(PoolId pool, Instant now, Effects effects) {
+    /** Starts attempts for the queued requests of a pool while an upstream has capacity. */
+    private void dispatchQueued(PoolId pool, Instant now, Effects effects) {
         WaitingQueue queue = queue(pool);
         while (!queue.isEmpty()) {
             if (upstreams.inPool(pool).isEmpty()) {
                 refuseAll(queue, pool, now, effects);
                 return;
             }
-            RequestFlow flow = queue.mostUrgent(now, estimates::workLeftNanos);
-            if (mayBeCut(flow, now)) {
+            RequestFlow flow = queue.mostUrgent(now, estimates::remainingNanos);
+            if (mayBeInterrupted(flow, now)) {
                 failForShutdown(flow, now, effects);
                 continue;
             }
@@ -427,30 +431,32 @@
     }
 
     /**
-     * Whether the process may end before an attempt that begins now has led to an answer. What must happen once and has not
-     * been sent needs all the time until its deadline: cut, its key would stay unknown, while refused it is free for
-     * another node. All else needs what its stages usually take, since giving it up is a sure loss.
+     * Whether the process may exit before an attempt that starts now has led to a response. A non-idempotent request
+     * that has not been sent needs all the time until its deadline: if it were interrupted, the outcome of its key
+     * would stay unknown, while after a refusal another node can claim the key. All other requests need the usual time
+     * of their remaining stages, since refusing them is a certain loss.
      */
-    private boolean mayBeCut(RequestFlow flow, Instant now) {
+    private boolean mayBeInterrupted(RequestFlow flow, Instant now) {
         if (!drain.started()) {
             return false;
         }
-        boolean unsentOnce = !flow.idempotent() && !flow.sent();
-        Duration needed = unsentOnce ? flow.timeLeft(now) : Duration.ofNanos(estimates.workLeftNanos(flow));
+        boolean unsentClaim = !flow.idempotent() && !flow.sent();
+        Duration needed = unsentClaim ? flow.remainingTime(now) : Duration.ofNanos(estimates.remainingNanos(flow));
         return !drain.enoughFor(needed, now);
     }
 
     private void failForShutdown(RequestFlow flow, Instant now, Effects effects) {
-        String message = "the node shuts down before stage " + flow.stage().id() + " would be over; ask another";
+        String message =
+                "the node is shutting down before stage " + flow.stage().id() + " can complete; retry on another node";
         fail(flow, ResultCode.SHUTTING_DOWN, message, now, effects);
     }
 
     private Choice choose(RequestFlow flow, Instant now) {
-        Choice fresh = policy.choose(flow.stage(), flow.request().prefix(), flow.tried(), now);
+        Choice untried = policy.choose(flow.stage(), flow.request().prefix(), flow.tried(), now);
         boolean allTried =
                 flow.tried().size() >= upstreams.inPool(flow.stage().pool()).size();
-        if (fresh.upstream().isPresent() || flow.tried().isEmpty() || !allTried) {
-            return fresh;
+        if (untried.upstream().isPresent() || flow.tried().isEmpty() || !allTried) {
+            return untried;
         }
         return policy.choose(flow.stage(), flow.request().prefix(), Set.of(), now);
     }
@@ -463,7 +469,7 @@
 
     private void start(RequestFlow flow, Vm upstream, Choice choice, String kind, Instant now, Effects effects) {
         Stage stage = flow.stage();
-        Instant stageEnd = now.plus(flow.idempotent() ? shorter(stage.timeout(), LONGEST_ATTEMPT) : stage.timeout());
+        Instant stageEnd = now.plus(flow.idempotent() ? min(stage.timeout(), MAX_ATTEMPT_DURATION) : stage.timeout());
         boolean untilDeadline = flow.idempotent() && flow.deadline().isBefore(stageEnd);
         Instant startBefore = earlier(upstreams.startBefore(upstream.id(), now), flow.deadline());
         Attempt attempt = new Attempt(
@@ -484,15 +490,18 @@
     }
 
     /**
-     * Guards against connections that went silent all at once, as when a device between has lost its state: the attempt
-     * before fell silent, and so would each retry on a connection of the same age, at whichever upstream, until no attempt
-     * is left. A new connection works then. What must happen once goes over a new one anyway.
+     * Guards against many connections going dead at once, for example when a network device on the path has lost its
+     * state: the previous attempt stalled, and so would each retry on a pooled connection of the same age, to any
+     * upstream, until no attempt is left. A new connection still works. Non-idempotent requests always use a new one.
      */
     private static boolean needsNewConnection(RequestFlow flow) {
-        return !flow.idempotent() || flow.attemptsOfStage() > 1;
+        return !flow.idempotent() || flow.attemptsInStage() > 1;
     }
 
-    /** Lets time pass: the end of the process, deadlines, silent attempts, hedges, and upstreams that have room again. */
+    /**
+     * Handles everything that depends on time: shutdown, deadlines, stalled attempts, hedging and upstreams with free
+     * capacity.
+     */
     public void onTick(Instant now, Effects effects) {
         for (RequestFlow flow : List.copyOf(flows.values())) {
             checkDeadline(flow, now, effects);
@@ -501,17 +510,17 @@
             checkAttempt(live, now, effects);
         }
         onRoom(now, effects);
-        tellDemands(now);
+        reportDemands(now);
     }
 
-    /** Starts what waits, after the right to use more upstreams came. */
+    /** Starts queued requests after this node was granted more capacity. */
     public void onRoom(Instant now, Effects effects) {
         for (PoolId pool : List.copyOf(queues.keySet())) {
-            pump(pool, now, effects);
+            dispatchQueued(pool, now, effects);
         }
     }
 
-    private void tellDemands(Instant now) {
+    private void reportDemands(Instant now) {
         queues.forEach((pool, queue) -> demands.add(pool, queue.size()));
         for (LiveAttempt live : attempts.values()) {
             demands.add(live.attempt().stage().pool(), 1);
@@ -520,9 +529,9 @@
     }
 
     /**
-     * Gives up what is past its deadline, and everything at the last moment before the process ends. A request that waits
-     * for the claim of its key is left to the claims: only they know whether another node runs the key, and "not run" would
-     * then send the caller off to run it under a new key.
+     * Fails requests that are past their deadline, and all requests when the grace period ends. A request that waits
+     * for the claim of its key is left to the claim handling: only there it is known whether another node is executing
+     * the key, and reporting "not run" would make the caller run it again under a new key.
      */
     private void checkDeadline(RequestFlow flow, Instant now, Effects effects) {
         if (flow.awaitingClaim()) {
@@ -541,11 +550,11 @@
                     effects);
             return;
         }
-        if (flow.waiting() && mayBeCut(flow, now)) {
+        if (flow.waiting() && mayBeInterrupted(flow, now)) {
             failForShutdown(flow, now, effects);
             return;
         }
-        if (policy.refusesEarly() && flow.waiting() && estimates.hopeless(flow, Duration.ZERO, now)) {
+        if (policy.refusesEarly() && flow.waiting() && estimates.willMissDeadline(flow, Duration.ZERO, now)) {
             fail(
                     flow,
                     ResultCode.DEADLINE_CANNOT_BE_MET,
@@ -559,13 +568,13 @@
         if (live.cancelled()) {
             return;
         }
-        boolean late = !live.attempt().deadline().isAfter(now);
-        // What must happen once cannot be tried again, so that giving it up early gains nothing: a booking that takes
-        // longer than usual would be reported as unknown although its confirmation is about to come.
+        boolean timedOut = !live.attempt().deadline().isAfter(now);
+        // A non-idempotent request cannot be retried, so cancelling it early gains nothing: a booking that takes longer
+        // than usual would be reported as unknown although its confirmation is about to arrive.
         boolean stalled = policy.hedges()
                 && live.flow().idempotent()
                 && upstreams.stalled(live.attempt().upstream().id(), live.startedAt(), live.lastProgress(), now);
-        if (late || stalled) {
+        if (timedOut || stalled) {
             live.markStalled();
             cancel(live, effects);
             return;
@@ -573,7 +582,7 @@
         hedge(live, now, effects);
     }
 
-    /** Starts a rival to an attempt that takes longer than nearly all others of its pool. */
+    /** Starts a hedged attempt if an attempt takes longer than nearly all others of its pool. */
     private void hedge(LiveAttempt live, Instant now, Effects effects) {
         RequestFlow flow = live.flow();
         Stage stage = live.attempt().stage();
@@ -583,14 +592,14 @@
                 || !flows.containsKey(flow.request().id())) {
             return;
         }
-        if (flow.attemptsOfStage() >= policy.mostAttempts(stage) || mayBeCut(flow, now)) {
+        if (flow.attemptsInStage() >= policy.mostAttempts(stage) || mayBeInterrupted(flow, now)) {
             return;
         }
         boolean streams = stage.work() == StageWork.GENERATE;
-        var usual = streams
+        var threshold = streams
                 ? upstreams.firstProgressQuantile(stage.pool(), HEDGE_QUANTILE)
                 : upstreams.quantile(stage.pool(), HEDGE_QUANTILE);
-        if (usual.isEmpty() || Duration.between(live.startedAt(), now).compareTo(usual.get()) <= 0) {
+        if (threshold.isEmpty() || Duration.between(live.startedAt(), now).compareTo(threshold.get()) <= 0) {
             return;
         }
         Set<VmId> excluded = new HashSet<>(flow.tried());
@@ -599,22 +608,22 @@
         if (choice.upstream().isEmpty() || !hedges.spend()) {
             return;
         }
-        Vm rival = choice.upstream().get();
-        if (upstreams.start(rival.id(), now)) {
-            start(flow, rival, choice, "hedge", now, effects);
+        Vm second = choice.upstream().get();
+        if (upstreams.start(second.id(), now)) {
+            start(flow, second, choice, "hedge", now, effects);
         }
     }
 
     private Duration retryAfter(PoolId pool, Instant now) {
-        Duration wait = estimates.wait(pool, queue(pool).size(), now);
-        return wait.compareTo(Intake.SHORTEST_RETRY_AFTER) > 0 ? wait : Intake.SHORTEST_RETRY_AFTER;
+        Duration delay = estimates.queueDelay(pool, queue(pool).size(), now);
+        return delay.compareTo(RequestAdmission.MIN_RETRY_AFTER) > 0 ? delay : RequestAdmission.MIN_RETRY_AFTER;
     }
 
     private static long millisLeft(RequestFlow flow, Instant now) {
-        return flow.timeLeft(now).toMillis();
+        return flow.remainingTime(now).toMillis();
     }
 
-    private static Duration shorter(Duration left, Duration right) {
+    private static Duration min(Duration left, Duration right) {
         return left.compareTo(right) <= 0 ? left : right;
     }
 
@@ -622,7 +631,7 @@
         return left.isBefore(right) ? left : right;
     }
 
-    /** The requests in flight, for administration. */
+    /** The requests in flight, for the administration interface. */
     public List<FlowView> views(Instant now) {
         List<FlowView> views = new ArrayList<>();
         for (RequestFlow flow : flows.values()) {
--- a/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/FlowView.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/FlowView.java
@@ -4,17 +4,17 @@
 import java.time.Instant;
 
 /**
- * A request in flight as operators see it.
+ * The state of a request in flight, for the administration interface.
  *
- * @param request its id
- * @param customer on whose behalf
- * @param template its template
- * @param templateVersion the version of it that it runs under
- * @param stage the stage it is in
+ * @param request the id of the request
+ * @param customer the customer who sent it
+ * @param template the template that it runs
+ * @param templateVersion the version of the template
+ * @param stage the current stage
  * @param state waiting, claiming or running
- * @param attempts so far
- * @param ageMillis since its arrival
- * @param millisLeft to its deadline
+ * @param attempts the number of attempts started so far
+ * @param ageMillis the time since its arrival
+ * @param millisLeft the time until its deadline
  */
 public record FlowView(
         String request,
@@ -26,7 +26,7 @@
         int attempts,
         long ageMillis,
         long millisLeft) {
-    /** A request as it is now. */
+    /** Captures the current state of a request. */
     static FlowView of(RequestFlow flow, Instant now) {
         return new FlowView(
                 flow.request().id().value(),
@@ -37,6 +37,6 @@
                 flow.waiting() ? "waiting" : flow.awaitingClaim() ? "claiming" : "running",
                 flow.attempts(),
                 Duration.between(flow.arrivedAt(), now).toMillis(),
-                flow.timeLeft(now).toMillis());
+                flow.remainingTime(now).toMillis());
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/LiveAttempt.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/LiveAttempt.java
@@ -2,7 +2,7 @@
 
 import java.time.Instant;
 
-/** An attempt whose end has not been reported yet. */
+/** An attempt in flight, whose end has not been reported yet. */
 final class LiveAttempt {
     private final Attempt attempt;
     private final RequestFlow flow;
@@ -39,7 +39,7 @@
         return progressed;
     }
 
-    void progress(Instant now) {
+    void onProgress(Instant now) {
         progressed = true;
         lastProgress = now;
     }
@@ -52,7 +52,7 @@
         cancelled = true;
     }
 
-    /** Whether it was cancelled because nothing was heard of it. */
+    /** Whether it was cancelled because it made no progress or reached its deadline. */
     boolean stalled() {
         return stalled;
     }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/OnceOnly.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/OnceOnly.java
@@ -8,14 +8,14 @@
 import org.wagtaillug.result.ResultCode;
 import org.wagtaillug.result.RunState;
 
-/** Asks for the right to run something that must happen once, and reports what became of it. */
+/** Acquires the claim of an idempotency key before a non-idempotent request is sent, and records its outcome. */
 public interface OnceOnly {
-    /** Asks for the right; the answer comes later as one of the dispatcher's {@code onClaim...} calls. */
+    /** Requests the claim; the result arrives later through one of the dispatcher's {@code onClaim...} methods. */
     void ask(RequestId request, IdempotencyKey key, String bodyDigest, Instant deadline, Instant now, Effects effects);
 
-    /** The holder of the right sent the work and this came of it. */
+    /** Records the outcome of a request that the holder of the claim has sent. */
     void settled(RequestId request, ResultCode code, RunState run, Payload output, Instant now, Effects effects);
 
-    /** The holder of the right has sent nothing and never will. */
+    /** Releases the claim: its holder has not sent the request and never will. */
     void abandon(RequestId request, Instant now, Effects effects);
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/PeakDemand.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/PeakDemand.java
@@ -4,27 +4,27 @@
 import java.time.Instant;
 
 /**
- * The most that was wanted of a pool at once during the last one to two seconds.
+ * The peak demand for a pool over the last one to two seconds.
  *
- * <p>A pool whose work takes milliseconds is wanted and not wanted many times a second. Asking for allowances and giving
- * them back each time would cost more messages than the work has.
+ * <p>The demand for a pool whose requests take milliseconds rises and falls many times a second. Requesting and
+ * returning allowances each time would cost more messages than the work itself.
  */
 final class PeakDemand {
     private static final Duration PERIOD = Duration.ofSeconds(1);
 
     private Instant periodEnd = Instant.MIN;
-    private int before;
-    private int during;
+    private int previousPeak;
+    private int currentPeak;
 
-    /** Notes what is wanted now and gives the peak. */
-    int note(int wanted, Instant now) {
+    /** Adds a sample of the current demand and returns the peak. */
+    int update(int demand, Instant now) {
         if (!now.isBefore(periodEnd)) {
-            boolean longAgo = periodEnd.equals(Instant.MIN) || !now.isBefore(periodEnd.plus(PERIOD));
-            before = longAgo ? 0 : during;
-            during = 0;
+            boolean outdated = periodEnd.equals(Instant.MIN) || !now.isBefore(periodEnd.plus(PERIOD));
+            previousPeak = outdated ? 0 : currentPeak;
+            currentPeak = 0;
             periodEnd = now.plus(PERIOD);
         }
-        during = Math.max(during, wanted);
-        return Math.max(before, during);
+        currentPeak = Math.max(currentPeak, demand);
+        return Math.max(previousPeak, currentPeak);
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/PoolDemands.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/PoolDemands.java
@@ -5,24 +5,24 @@
 import java.util.Map;
 import org.wagtaillug.id.PoolId;
 
-/** How much is wanted of each pool, counted anew each time, and the peaks of that. */
+/** Counts the demand for each pool per tick and tracks its recent peak. */
 final class PoolDemands {
-    private final Map<PoolId, Integer> counted = new HashMap<>();
+    private final Map<PoolId, Integer> counts = new HashMap<>();
     private final Map<PoolId, PeakDemand> peaks = new HashMap<>();
 
-    /** Counts so many more for a pool. */
-    void add(PoolId pool, int more) {
-        counted.merge(pool, more, Integer::sum);
+    /** Adds to the current demand for a pool. */
+    void add(PoolId pool, int amount) {
+        counts.merge(pool, amount, Integer::sum);
     }
 
-    /** The peak of each pool that was counted; counting begins anew. */
+    /** Returns the recent peak of each pool with demand since the last call, and resets the counts. */
     Map<PoolId, Integer> takePeaks(Instant now) {
-        Map<PoolId, Integer> taken = new HashMap<>();
-        counted.forEach((pool, wanted) -> {
+        Map<PoolId, Integer> result = new HashMap<>();
+        counts.forEach((pool, demand) -> {
             PeakDemand peak = peaks.computeIfAbsent(pool, ignored -> new PeakDemand());
-            taken.put(pool, peak.note(wanted, now));
+            result.put(pool, peak.update(demand, now));
         });
-        counted.clear();
-        return taken;
+        counts.clear();
+        return result;
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/Request.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/Request.java
@@ -9,17 +9,17 @@
 import org.wagtaillug.result.Payload;
 
 /**
- * A caller's request as it came in.
+ * A caller's request as received.
  *
  * @param id unique on the node while the request is in flight
- * @param customer on whose behalf
- * @param template which pipeline
- * @param deadline the caller's own; empty to take the customer's or the template's
- * @param key the idempotency key; empty if none came
- * @param bodyDigest of template and body
- * @param body the body, for the stages
- * @param prefix names the start of the prompt that is shared with other requests, for engines that cache prefixes; empty
- *     if it is not known
+ * @param customer the customer who sent it
+ * @param template the pipeline to run
+ * @param deadline the deadline set by the caller; if empty, that of the customer or the template applies
+ * @param key the idempotency key; empty if the caller sent none
+ * @param bodyDigest the digest of template and body
+ * @param body the input of the first stage
+ * @param prefix identifies the prompt prefix that is shared with other requests, for engines that cache prefixes; empty
+ *     if unknown
  */
 public record Request(
         RequestId id,
@@ -30,12 +30,12 @@
         String bodyDigest,
         Payload body,
         String prefix) {
-    /** Starts a request without deadline, key, digest, body or prefix. */
+    /** Creates a builder of a request without deadline, key, digest, body or prefix. */
     public static Builder builder(RequestId id, CustomerId customer, TemplateId template) {
         return new Builder(id, customer, template);
     }
 
-    /** Collects the parts of a {@link Request}. */
+    /** Builds a {@link Request}. */
     public static final class Builder {
         private final RequestId id;
         private final CustomerId customer;
@@ -76,7 +76,7 @@
             return this;
         }
 
-        /** Sets the name of the prompt's shared start. */
+        /** Sets the identifier of the shared prompt prefix. */
         public Builder prefix(String name) {
             this.prefix = name;
             return this;
--- a/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/Intake.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/RequestAdmission.java
@@ -16,10 +16,10 @@
 import org.wagtaillug.routing.RoutingPolicy;
 import org.wagtaillug.routing.Upstreams;
 
-/** Decides whether a request is taken at all, and on which terms. */
-final class Intake {
-    /** The shortest time after which it is worth asking again. */
-    static final Duration SHORTEST_RETRY_AFTER = Duration.ofMillis(200);
+/** Validates requests on arrival and decides whether to admit them, and with which deadline and worth. */
+final class RequestAdmission {
+    /** The minimum retry-after time sent to callers. */
+    static final Duration MIN_RETRY_AFTER = Duration.ofMillis(200);
 
     private static final Duration NO_UPSTREAM_RETRY_AFTER = Duration.ofSeconds(1);
 
@@ -27,15 +27,15 @@
     private final Upstreams upstreams;
     private final RoutingPolicy policy;
     private final Admission admission;
-    private final Estimates estimates;
+    private final LatencyEstimates estimates;
     private final Drain drain;
 
-    Intake(
+    RequestAdmission(
             Configuration configuration,
             Upstreams upstreams,
             RoutingPolicy policy,
             Admission admission,
-            Estimates estimates,
+            LatencyEstimates estimates,
             Drain drain) {
         this.configuration = configuration;
         this.upstreams = upstreams;
@@ -46,35 +46,35 @@
     }
 
     /**
-     * A request that is not taken.
+     * A request that was not admitted.
      *
-     * @param templateVersion the offset of its template; 0 if none was found
-     * @param refusal why
+     * @param templateVersion the configuration offset of its template; 0 if the template is unknown
+     * @param refusal the reason
      */
     record Refused(long templateVersion, Refusal refusal) {}
 
     /**
-     * Admits a request or says why not. Nothing is counted yet.
+     * Admits a request or returns the reason for refusing it. Does not yet count the request against the limits.
      *
-     * @param waiting how many requests wait for each pool
+     * @param queues the queue length of each pool
      */
-    Either<Refused, RequestFlow> admit(Request request, Waiting waiting, Instant now) {
+    Either<Refused, RequestFlow> admit(Request request, QueueLengths queues, Instant now) {
         Optional<VersionedTemplate> template = configuration.template(request.template());
         if (template.isEmpty()) {
-            String hint = Nearest.hint(request.template().value(), configuration.templates());
+            String hint = SpellingHint.didYouMean(request.template().value(), configuration.templates());
             return refuse(
                     0, ResultCode.UNKNOWN_TEMPLATE, "template \"" + request.template() + "\" is not in force" + hint);
         }
         long version = template.get().version();
         Optional<CustomerContract> customer = configuration.customer(request.customer());
         if (customer.isEmpty()) {
-            String hint = Nearest.hint(request.customer().value(), configuration.customers());
+            String hint = SpellingHint.didYouMean(request.customer().value(), configuration.customers());
             return refuse(
                     version,
                     ResultCode.UNKNOWN_CUSTOMER,
                     "customer \"" + request.customer() + "\" is not in force" + hint);
         }
-        RequestFlow.Terms terms = terms(request, template.get(), customer.get(), now);
+        RequestFlow.Terms terms = resolveTerms(request, template.get(), customer.get(), now);
         if (!terms.deadline().isAfter(now)) {
             return refuse(version, ResultCode.DEADLINE_PASSED, "the deadline had passed on arrival");
         }
@@ -85,34 +85,34 @@
                     "template \"" + request.template() + "\" is not idempotent; expected an Idempotency-Key");
         }
         RequestFlow flow = new RequestFlow(request, template.get(), terms, now);
-        // Until its deadline it may run, and the process may be gone by then.
-        if (!drain.enoughFor(flow.timeLeft(now), now)) {
+        // The request may run until its deadline, and the process may have exited by then.
+        if (!drain.enoughFor(flow.remainingTime(now), now)) {
             return refuse(
                     flow,
                     ResultCode.SHUTTING_DOWN,
-                    SHORTEST_RETRY_AFTER,
-                    "the node is shutting down, maybe before the deadline; ask another");
+                    MIN_RETRY_AFTER,
+                    "the node is shutting down and may exit before the deadline; retry on another node");
         }
-        return room(flow, customer.get(), waiting, now);
+        return checkCapacity(flow, customer.get(), queues, now);
     }
 
-    /** Tells how many requests wait for a pool. */
-    interface Waiting {
-        /** The number for one pool. */
-        int at(PoolId pool);
+    /** Provides the queue lengths of pools. */
+    interface QueueLengths {
+        /** The number of requests that wait for an upstream of a pool. */
+        int of(PoolId pool);
     }
 
-    private static RequestFlow.Terms terms(
+    private static RequestFlow.Terms resolveTerms(
             Request request, VersionedTemplate versioned, CustomerContract customer, Instant now) {
-        Instant agreed = now.plus(customer.deadlineOf(versioned.template()));
+        Instant latest = now.plus(customer.deadlineOf(versioned.template()));
         Instant deadline =
-                request.deadline().filter(own -> own.isBefore(agreed)).orElse(agreed);
+                request.deadline().filter(own -> own.isBefore(latest)).orElse(latest);
         double worth = customer.worthOf(versioned.template());
         return new RequestFlow.Terms(deadline, worth, customer.idempotent(versioned.template()));
     }
 
-    private Either<Refused, RequestFlow> room(
-            RequestFlow flow, CustomerContract customer, Waiting waiting, Instant now) {
+    private Either<Refused, RequestFlow> checkCapacity(
+            RequestFlow flow, CustomerContract customer, QueueLengths queues, Instant now) {
         if (upstreams.inPool(flow.stage().pool()).isEmpty()) {
             return refuse(
                     flow,
@@ -120,16 +120,16 @@
                     NO_UPSTREAM_RETRY_AFTER,
                     "no upstream of pool \"" + flow.stage().pool() + "\" is in service");
         }
-        Duration wait =
-                estimates.wait(flow.stage().pool(), waiting.at(flow.stage().pool()), now);
-        Duration retryAfter = wait.compareTo(SHORTEST_RETRY_AFTER) > 0 ? wait : SHORTEST_RETRY_AFTER;
-        if (policy.refusesEarly() && estimates.hopeless(flow, wait, now)) {
+        Duration delay =
+                estimates.queueDelay(flow.stage().pool(), queues.of(flow.stage().pool()), now);
+        Duration retryAfter = delay.compareTo(MIN_RETRY_AFTER) > 0 ? delay : MIN_RETRY_AFTER;
+        if (policy.refusesEarly() && estimates.willMissDeadline(flow, delay, now)) {
             long left = Duration.between(now, flow.deadline()).toMillis();
             return refuse(
                     flow,
                     ResultCode.DEADLINE_CANNOT_BE_MET,
                     retryAfter,
-                    "the work takes longer than the " + left + " ms to the deadline");
+                    "the expected processing time is longer than the " + left + " ms left until the deadline");
         }
         Option<ResultCode> obstacle = admission.obstacle(customer.id(), customer.share());
         if (obstacle.isDefined()) {
--- a/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/RequestFlow.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/RequestFlow.java
@@ -12,7 +12,9 @@
 import org.wagtaillug.id.VmId;
 import org.wagtaillug.result.Payload;
 
-/** One request on its way through the stages of its template. It keeps the template that it began with to its end. */
+/**
+ * The state of one request as it passes through the stages of its template. The template version is fixed on arrival.
+ */
 final class RequestFlow {
     private final Request request;
     private final VersionedTemplate template;
@@ -24,7 +26,7 @@
     private final List<LiveAttempt> live = new ArrayList<>();
     private final Set<VmId> tried = new HashSet<>();
     private int stageIndex;
-    private int attemptsOfStage;
+    private int attemptsInStage;
     private int attempts;
     private Payload input;
     private boolean claimed;
@@ -44,11 +46,11 @@
     }
 
     /**
-     * What customer and template agreed for this request.
+     * The parameters of this request that follow from its customer and its template.
      *
-     * @param deadline when it must be answered
-     * @param worth what it is worth when served in time
-     * @param idempotent whether a second run does no harm
+     * @param deadline the time by which it must be answered
+     * @param worth the value of serving it in time, relative to other requests
+     * @param idempotent whether it is safe to run it more than once
      */
     record Terms(Instant deadline, double worth, boolean idempotent) {}
 
@@ -68,8 +70,8 @@
         return deadline;
     }
 
-    /** How long until the deadline; negative after it. */
-    Duration timeLeft(Instant now) {
+    /** The time until the deadline; negative once it has passed. */
+    Duration remainingTime(Instant now) {
         return Duration.between(now, deadline);
     }
 
@@ -85,15 +87,17 @@
         return template.template().stages().get(stageIndex);
     }
 
-    List<Stage> stagesLeft() {
+    List<Stage> remainingStages() {
         List<Stage> stages = template.template().stages();
         return stages.subList(stageIndex, stages.size());
     }
 
-    /** Goes on to the next stage with this stage's output; false when there is none. */
+    /**
+     * Moves on to the next stage, with the output of this one as its input; returns false if this was the last stage.
+     */
     boolean advance(Payload output) {
         input = output;
-        attemptsOfStage = 0;
+        attemptsInStage = 0;
         tried.clear();
         stageIndex++;
         return stageIndex < template.template().stages().size();
@@ -111,13 +115,13 @@
         return tried;
     }
 
-    int attemptsOfStage() {
-        return attemptsOfStage;
+    int attemptsInStage() {
+        return attemptsInStage;
     }
 
     AttemptId nextAttempt() {
         attempts++;
-        attemptsOfStage++;
+        attemptsInStage++;
         return new AttemptId(request.id(), stage().id(), attempts);
     }
 
@@ -125,7 +129,7 @@
         return attempts;
     }
 
-    /** Whether this node holds the right to run a request that must happen once. */
+    /** Whether this node holds the claim of the idempotency key. */
     boolean claimed() {
         return claimed;
     }
@@ -164,7 +168,7 @@
         return lastFailure;
     }
 
-    void noteFailure(String text) {
+    void recordFailure(String text) {
         lastFailure = text;
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/StreamJoiner.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/StreamJoiner.java
@@ -6,74 +6,75 @@
 import org.wagtaillug.id.AttemptId;
 
 /**
- * Joins the token streams of one request's attempts into one: each token once, in order, whichever attempt it came from.
+ * Merges the token streams of one request's attempts into a single stream that has each token once and in order.
  *
- * <p>A stream that breaks is resumed by another attempt from {@link #next()}; a hedged stream runs beside the first.
- * Both give the same tokens at the same offsets, since an engine's output is fixed by prompt and seed; so an offset that
- * was passed on is dropped when it comes again, and one that comes early is held back.
+ * <p>After a stream breaks, another attempt resumes at {@link #next()}; a hedged stream runs in parallel with the
+ * first. All of them have the same tokens at the same offsets, because prompt and seed determine the output of an
+ * engine. So a token whose offset was already emitted is dropped as a duplicate, and a token that arrives out of order
+ * is buffered.
  *
- * <p>Not safe for use by several threads at once; the holder locks.
+ * <p>Not thread-safe; the caller must synchronize.
  */
 public final class StreamJoiner {
-    /** The most tokens that are held back before the one that is missing has come. */
-    public static final int MOST_HELD = 4096;
+    /** The maximum number of tokens that are buffered while an earlier one is missing. */
+    public static final int MAX_BUFFERED = 4096;
 
     private final BiConsumer<Integer, String> sink;
-    private final Map<Integer, String> held = new TreeMap<>();
+    private final Map<Integer, String> buffered = new TreeMap<>();
     private int next;
     private long duplicates;
 
     /**
-     * Starts at token 0.
+     * Creates a joiner that expects the token at offset 0 first.
      *
-     * @param sink takes each token with its offset
+     * @param sink receives each token with its offset
      */
     public StreamJoiner(BiConsumer<Integer, String> sink) {
         this.sink = sink;
     }
 
     /**
-     * Takes a token of an attempt.
+     * Accepts a token of an attempt.
      *
-     * @param attempt where it came from
-     * @param offset its place in the whole output, from 0
+     * @param attempt the attempt that the token belongs to
+     * @param offset its position in the complete output, from 0
      * @param text the token
-     * @return false if the stream is so far ahead that it cannot be joined; the attempt must be given up
+     * @return false if the buffer is full because the stream is too far ahead; the attempt must be cancelled
      */
     public boolean accept(AttemptId attempt, int offset, String text) {
-        if (offset < next || held.containsKey(offset)) {
+        if (offset < next || buffered.containsKey(offset)) {
             duplicates++;
             return true;
         }
-        if (held.size() >= MOST_HELD) {
+        if (buffered.size() >= MAX_BUFFERED) {
             return false;
         }
-        held.put(offset, text);
-        String ready = held.remove(next);
+        buffered.put(offset, text);
+        String ready = buffered.remove(next);
         while (ready != null) {
             sink.accept(next, ready);
             next++;
-            ready = held.remove(next);
+            ready = buffered.remove(next);
         }
         return true;
     }
 
-    /** The offset of the first token that has not been passed on: where a new attempt resumes. */
+    /** The offset of the first token that has not been emitted, at which a new attempt resumes. */
     public int next() {
         return next;
     }
 
-    /** How many tokens came more than once. */
+    /** The number of duplicate tokens received. */
     public long duplicates() {
         return duplicates;
     }
 
     /**
-     * Whether an attempt's claim to have ended after so many tokens is true of what was passed on.
+     * Whether all tokens of the output have been emitted, given the length that an attempt reported at its end.
      *
-     * @param tokens the length that the attempt claims for the whole output
+     * @param tokens the length of the complete output as reported by the attempt
      */
     public boolean whole(int tokens) {
-        return next == tokens && held.isEmpty();
+        return next == tokens && buffered.isEmpty();
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/Throughput.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/Throughput.java
@@ -5,31 +5,33 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** How many attempts of a pool this node has seen end well of late, to tell how long a queue takes. */
+/**
+ * The rate at which attempts of a pool have recently completed on this node; predicts how long a queue takes to drain.
+ */
 final class Throughput {
     private static final Duration WINDOW = Duration.ofSeconds(2);
-    private static final int FEWEST = 4;
+    private static final int MIN_SAMPLES = 4;
 
-    private final Deque<Instant> ends = new ArrayDeque<>();
+    private final Deque<Instant> completions = new ArrayDeque<>();
 
-    void ended(Instant now) {
-        ends.addLast(now);
-        forget(now);
+    void onCompleted(Instant now) {
+        completions.addLast(now);
+        evictOld(now);
     }
 
-    /** How long it takes until so many have ended, at the present rate; zero while too few were seen to tell. */
-    Duration timeFor(int attempts, Instant now) {
-        forget(now);
-        if (ends.size() < FEWEST) {
+    /** The time until this many attempts have completed at the current rate; zero while there are too few samples. */
+    Duration timeToComplete(int attempts, Instant now) {
+        evictOld(now);
+        if (completions.size() < MIN_SAMPLES) {
             return Duration.ZERO;
         }
-        return WINDOW.multipliedBy(attempts).dividedBy(ends.size());
+        return WINDOW.multipliedBy(attempts).dividedBy(completions.size());
     }
 
-    private void forget(Instant now) {
-        Instant oldest = now.minus(WINDOW);
-        while (!ends.isEmpty() && ends.peekFirst().isBefore(oldest)) {
-            ends.removeFirst();
+    private void evictOld(Instant now) {
+        Instant windowStart = now.minus(WINDOW);
+        while (!completions.isEmpty() && completions.peekFirst().isBefore(windowStart)) {
+            completions.removeFirst();
         }
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/WaitingQueue.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/WaitingQueue.java
@@ -7,7 +7,10 @@
 import java.util.List;
 import java.util.function.ToLongFunction;
 
-/** The requests that wait for an upstream of one pool. Short by admission, so the next one is found by looking at all. */
+/**
+ * The requests that wait for an upstream of one pool. Admission control keeps it short, so the next request is found by
+ * a linear scan.
+ */
 final class WaitingQueue {
     private final List<RequestFlow> waiting = new ArrayList<>();
 
@@ -34,16 +37,16 @@
     }
 
     /**
-     * The request that should go next: the one with the least slack for its worth. A request that is worth twice as
-     * much may have twice the slack and still goes first.
+     * The request to dispatch next: the one with the least slack relative to its worth. A request with twice the worth
+     * precedes another as long as it has less than twice the slack.
      *
-     * @param workLeft nanoseconds that a request's stages still take
+     * @param remainingNanos the expected time of a request's remaining stages, in nanoseconds
      */
-    RequestFlow mostUrgent(Instant now, ToLongFunction<RequestFlow> workLeft) {
+    RequestFlow mostUrgent(Instant now, ToLongFunction<RequestFlow> remainingNanos) {
         RequestFlow best = null;
         double least = Double.POSITIVE_INFINITY;
         for (RequestFlow flow : waiting) {
-            double slack = Duration.between(now, flow.deadline()).toNanos() - workLeft.applyAsLong(flow);
+            double slack = Duration.between(now, flow.deadline()).toNanos() - remainingNanos.applyAsLong(flow);
             double score = slack > 0 ? slack / flow.worth() : slack * flow.worth();
             if (score < least) {
                 least = score;
@@ -53,8 +56,8 @@
         return best;
     }
 
-    /** The request that has not started anything and is worth least; empty queue gives null. */
-    RequestFlow leastWorth() {
+    /** The request of the lowest worth among those without an attempt; null if there is none. */
+    RequestFlow lowestWorth() {
         RequestFlow least = null;
         Iterator<RequestFlow> all = waiting.iterator();
         while (all.hasNext()) {
--- a/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/package-info.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/package-info.java
@@ -1,2 +1,5 @@
-/** The way of one request through its stages: attempts, retries, hedges, streams and the one answer. */
+/**
+ * Request dispatch: takes each request through the stages of its template, with retries, hedging and stream merging, to
+ * a single response.
+ */
 package org.wagtaillug.dispatch;
--- a/wagtaillug-core/src/test/java/org/wagtaillug/dispatch/AnswerLedger.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/dispatch/AnswerAudit.java
@@ -9,18 +9,21 @@
 import org.wagtaillug.node.Effect;
 import org.wagtaillug.result.RunState;
 
-/** Keeps the books on a session, naively: who asked, who was answered how, and what may have reached an upstream. */
-final class AnswerLedger {
+/**
+ * Records which requests arrived, how they were answered and which may have reached an upstream, and checks these
+ * against each other.
+ */
+final class AnswerAudit {
     private final Set<String> arrived = new HashSet<>();
     private final Map<String, Integer> answers = new HashMap<>();
     private final Set<String> mayHaveRun = new HashSet<>();
-    private final Set<String> toldNotRun = new HashSet<>();
+    private final Set<String> reportedNotRun = new HashSet<>();
 
     void arrived(String request) {
         arrived.add(request);
     }
 
-    void ended(Attempt attempt, AttemptEnd end) {
+    void attemptEnded(Attempt attempt, AttemptEnd end) {
         boolean reached =
                 end instanceof AttemptEnd.Completed || end instanceof AttemptEnd.Failed failed && failed.byteLeft();
         if (reached) {
@@ -28,7 +31,7 @@
         }
     }
 
-    void take(List<Effect> effects) {
+    void onEffects(List<Effect> effects) {
         for (Effect effect : effects) {
             if (effect instanceof Effect.AnswerServed served) {
                 answers.merge(served.request().value(), 1, Integer::sum);
@@ -36,7 +39,7 @@
             if (effect instanceof Effect.AnswerRefused refused) {
                 answers.merge(refused.request().value(), 1, Integer::sum);
                 if (refused.refusal().run() == RunState.NOT_RUN) {
-                    toldNotRun.add(refused.request().value());
+                    reportedNotRun.add(refused.request().value());
                 }
             }
         }
@@ -48,7 +51,7 @@
             if (answers.getOrDefault(request, 0) != 1) {
                 problems.add(request + " was answered " + answers.getOrDefault(request, 0) + " times");
             }
-            if (toldNotRun.contains(request) && mayHaveRun.contains(request)) {
+            if (reportedNotRun.contains(request) && mayHaveRun.contains(request)) {
                 problems.add(request + " was told not-run but may have run");
             }
         }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/dispatch/Session.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/dispatch/DispatcherHarness.java
@@ -34,10 +34,10 @@
 import org.wagtaillug.result.RunState;
 import org.wagtaillug.routing.LeastCompletionPolicy;
 
-/** Drives a dispatcher by hand and writes down what went in and what came out. */
-final class Session implements Configuration, OnceOnly {
+/** Drives a dispatcher step by step and records its inputs and effects as lines of text. */
+final class DispatcherHarness implements Configuration, OnceOnly {
     static final Instant START = Instant.parse("2026-12-01T08:00:00Z");
-    static final Duration GRACE = Duration.ofSeconds(8);
+    static final Duration GRACE_PERIOD = Duration.ofSeconds(8);
 
     final FakeUpstreams upstreams = new FakeUpstreams()
             .pool("encode", 2)
@@ -45,10 +45,10 @@
             .pool("rerank", 2)
             .pool("generate", 2)
             .pool("bookings", 2);
-    final Drain drain = new Drain(GRACE);
+    final Drain drain = new Drain(GRACE_PERIOD);
     final Effects effects = new Effects();
     final List<String> lines = new ArrayList<>();
-    final List<Effect> last = new ArrayList<>();
+    final List<Effect> lastEffects = new ArrayList<>();
     final Dispatcher dispatcher;
     final Template draft = Template.builder("menu-draft")
             .stage(Stage.builder("encode").build())
@@ -68,12 +68,12 @@
     final CustomerContract customer = new CustomerContract(new CustomerId("office-nord"), 1, Map.of());
     private Instant now = START;
 
-    Session(DispatchLimits limits) {
+    DispatcherHarness(DispatchLimits limits) {
         dispatcher = new Dispatcher(
                 limits, this, upstreams, new LeastCompletionPolicy(upstreams, new DomainId("a")), this, drain);
     }
 
-    Session() {
+    DispatcherHarness() {
         this(DispatchLimits.DEFAULTS);
     }
 
@@ -81,43 +81,43 @@
         return now;
     }
 
-    Session pass(long millis) {
+    DispatcherHarness advance(long millis) {
         now = now.plusMillis(millis);
         lines.add("+ " + millis + " ms");
         dispatcher.onTick(now, effects);
-        return take();
+        return collect();
     }
 
-    Session arrive(String request, String template) {
+    DispatcherHarness arrive(String request, String template) {
         lines.add("> request " + request + " of " + template);
         Request.Builder builder = Request.builder(new RequestId(request), customer.id(), new TemplateId(template));
         if (template.equals("booking")) {
             builder.key(new IdempotencyKey(customer.id(), "key-of-" + request, START));
         }
         dispatcher.onRequest(builder.body(Payload.of("\"in\"")).build(), now, effects);
-        return take();
+        return collect();
     }
 
-    Session won(String request) {
+    DispatcherHarness claimWon(String request) {
         lines.add("> claim won " + request);
         dispatcher.onClaimWon(new RequestId(request), now, effects);
-        return take();
+        return collect();
     }
 
-    Session end(String request, String stage, int number, AttemptEnd end) {
+    DispatcherHarness end(String request, String stage, int number, AttemptEnd end) {
         lines.add("> ended " + request + "/" + stage + "/" + number + " " + end);
         dispatcher.onEnded(new AttemptId(new RequestId(request), new StageId(stage), number), end, now, effects);
-        return take();
+        return collect();
     }
 
-    Session complete(String request, String stage, int number) {
+    DispatcherHarness complete(String request, String stage, int number) {
         return end(request, stage, number, new AttemptEnd.Completed(Payload.of("\"" + stage + "\"")));
     }
 
-    private Session take() {
-        last.clear();
-        last.addAll(effects.drain());
-        for (Effect effect : last) {
+    private DispatcherHarness collect() {
+        lastEffects.clear();
+        lastEffects.addAll(effects.drain());
+        for (Effect effect : lastEffects) {
             lines.add("  < " + text(effect));
         }
         return this;
@@ -140,10 +140,10 @@
         };
     }
 
-    /** The attempts started by the last step. */
+    /** The attempts that the lastEffects step started. */
     List<Attempt> started() {
         List<Attempt> started = new ArrayList<>();
-        for (Effect effect : last) {
+        for (Effect effect : lastEffects) {
             if (effect instanceof Effect.StartAttempt start) {
                 started.add(start.attempt());
             }
@@ -151,9 +151,9 @@
         return started;
     }
 
-    /** The refusal given by the last step. */
+    /** The refusal that the lastEffects step returned. */
     Optional<Effect.AnswerRefused> refused() {
-        for (Effect effect : last) {
+        for (Effect effect : lastEffects) {
             if (effect instanceof Effect.AnswerRefused refused) {
                 return Optional.of(refused);
             }
@@ -162,11 +162,11 @@
     }
 
     boolean served() {
-        return last.stream().anyMatch(effect -> effect instanceof Effect.AnswerServed);
+        return lastEffects.stream().anyMatch(effect -> effect instanceof Effect.AnswerServed);
     }
 
     static String golden(String name) {
-        try (var in = Session.class.getResourceAsStream("/golden/" + name)) {
+        try (var in = DispatcherHarness.class.getResourceAsStream("/golden/" + name)) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException fault) {
             throw new UncheckedIOException(fault);
--- a/wagtaillug-core/src/test/java/org/wagtaillug/dispatch/DispatcherTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/dispatch/DispatcherTest.java
@@ -18,258 +18,263 @@
 import org.wagtaillug.result.RunState;
 
 class DispatcherTest {
-    private static final AttemptEnd LOST = new AttemptEnd.Failed(true, "connection reset");
-    private static final AttemptEnd REFUSED_CONNECTION = new AttemptEnd.Failed(false, "connection refused");
+    private static final AttemptEnd CONNECTION_RESET = new AttemptEnd.Failed(true, "connection reset");
+    private static final AttemptEnd CONNECTION_REFUSED = new AttemptEnd.Failed(false, "connection refused");
 
     @Test
-    void aDraftThroughAStragglerAndABookingAreServedAsInTheGoldenFile() {
-        Session session = new Session();
-        session.upstreams.usual = Optional.of(Duration.ofMillis(50));
-        session.arrive("draft", "menu-draft")
+    void aDraftWithASlowAttemptAndABookingAreServedAsInTheGoldenFile() {
+        DispatcherHarness harness = new DispatcherHarness();
+        harness.upstreams.typicalDuration = Optional.of(Duration.ofMillis(50));
+        harness.arrive("draft", "menu-draft")
                 .complete("draft", "encode", 1)
-                .pass(60)
+                .advance(60)
                 .complete("draft", "retrieve", 3)
-                .end("draft", "retrieve", 2, LOST)
+                .end("draft", "retrieve", 2, CONNECTION_RESET)
                 .complete("draft", "rerank", 4)
-                .end("draft", "generate", 5, LOST)
+                .end("draft", "generate", 5, CONNECTION_RESET)
                 .complete("draft", "generate", 6)
                 .arrive("table", "booking")
-                .won("table")
+                .claimWon("table")
                 .complete("table", "book", 1);
-        assertThat(String.join("\n", session.lines) + "\n").isEqualTo(Session.golden("dispatch-draft-and-booking.txt"));
+        assertThat(String.join("\n", harness.lines) + "\n")
+                .isEqualTo(DispatcherHarness.golden("dispatch-draft-and-booking.txt"));
     }
 
     @Test
-    void aLateAnswerOfTheSlowRivalIsDropped() {
-        // A stage straggles, a rival is started and wins; the request goes on. Then the straggler's answer comes, late.
-        // A user would see another stage's result mixed into the draft. Cause: an answer counted without looking whose.
-        Session session = new Session();
-        session.upstreams.usual = Optional.of(Duration.ofMillis(50));
-        session.arrive("draft", "menu-draft").pass(60).complete("draft", "encode", 2);
-        session.end("draft", "encode", 1, new AttemptEnd.Completed(Payload.of("\"late\"")));
-        assertThat(session.started()).isEmpty();
-        session.complete("draft", "encode", 1);
-        assertThat(session.dispatcher.foreignAnswers()).isEqualTo(1);
+    void aLateAnswerOfTheSlowAttemptIsDropped() {
+        // Guards against accepting a response without checking which attempt it belongs to. A stage is slow, its hedged
+        // attempt wins and the request moves on; the late response of the first attempt would then be taken as the
+        // output of the next stage.
+        DispatcherHarness harness = new DispatcherHarness();
+        harness.upstreams.typicalDuration = Optional.of(Duration.ofMillis(50));
+        harness.arrive("draft", "menu-draft").advance(60).complete("draft", "encode", 2);
+        harness.end("draft", "encode", 1, new AttemptEnd.Completed(Payload.of("\"late\"")));
+        assertThat(harness.started()).isEmpty();
+        harness.complete("draft", "encode", 1);
+        assertThat(harness.dispatcher.unmatchedEvents()).isEqualTo(1);
     }
 
     @Test
     void aBookingWhoseConnectionBreaksAfterAByteLeftIsNotSentAgain() {
-        // A guest books a table; the connection breaks before the answer. The ledger may have booked. A second call
-        // would book twice; so the guest is told that nobody knows, and the outcome is recorded for whoever asks
-        // again.
-        Session session = new Session();
-        session.arrive("table", "booking").won("table").end("table", "book", 1, LOST);
-        assertThat(session.started()).isEmpty();
-        assertThat(session.refused().orElseThrow().refusal().run()).isEqualTo(RunState.UNKNOWN);
-        assertThat(session.lines).contains("  < settle table OUTCOME_UNKNOWN unknown");
+        // Guards against a double booking: the connection breaks before the response, and the upstream may have booked.
+        // The outcome is reported as unknown and recorded for retries with the same key.
+        DispatcherHarness harness = new DispatcherHarness();
+        harness.arrive("table", "booking").claimWon("table").end("table", "book", 1, CONNECTION_RESET);
+        assertThat(harness.started()).isEmpty();
+        assertThat(harness.refused().orElseThrow().refusal().run()).isEqualTo(RunState.UNKNOWN);
+        assertThat(harness.lines).contains("  < settle table OUTCOME_UNKNOWN unknown");
     }
 
     @Test
-    void aBookingThatNeverLeftGoesToAnotherServerAndIsAbandonedWhenNoneTakesIt() {
-        // Every server of the ledger refuses connections. Nothing was sent, so trying the next is safe, and "not run"
-        // true.
-        Session session = new Session();
-        session.arrive("table", "booking").won("table");
-        session.end("table", "book", 1, REFUSED_CONNECTION);
-        assertThat(session.started()).hasSize(1);
-        session.end("table", "book", 2, REFUSED_CONNECTION).end("table", "book", 3, REFUSED_CONNECTION);
-        assertThat(session.refused().orElseThrow().refusal().run()).isEqualTo(RunState.NOT_RUN);
-        assertThat(session.lines).contains("  < abandon table");
+    void aBookingThatWasNeverSentIsRetriedOnAnotherServerAndAbandonedWhenNoneAcceptsIt() {
+        // Every upstream refuses connections. Nothing was sent, so it is safe to try the next one, and "not run" is
+        // correct.
+        DispatcherHarness harness = new DispatcherHarness();
+        harness.arrive("table", "booking").claimWon("table");
+        harness.end("table", "book", 1, CONNECTION_REFUSED);
+        assertThat(harness.started()).hasSize(1);
+        harness.end("table", "book", 2, CONNECTION_REFUSED).end("table", "book", 3, CONNECTION_REFUSED);
+        assertThat(harness.refused().orElseThrow().refusal().run()).isEqualTo(RunState.NOT_RUN);
+        assertThat(harness.lines).contains("  < abandon table");
     }
 
     @Test
-    void aBookingThatAnotherNodeMayBeRunningIsNotSaidNotToHaveRun() {
-        // A guest's retry lands on a second node while the first still books. At the retry's deadline the second node
-        // knows nothing yet; "not run" would be taken as leave to book again under a new key.
-        Session session = new Session();
-        session.arrive("table", "booking").pass(10_001);
-        assertThat(session.refused()).isEmpty();
-        session.dispatcher.onCallerLeft(new RequestId("table"), session.now(), session.effects);
-        session.pass(1);
-        assertThat(session.refused().orElseThrow().refusal().run()).isEqualTo(RunState.UNKNOWN);
+    void aBookingThatAnotherNodeMayBeRunningIsNotReportedAsNotRun() {
+        // Guards against a double booking: a retry reaches a second node while the first is still executing the key. At
+        // the retry's deadline the second node does not know the outcome yet, and "not run" would let the caller book
+        // again under a new key.
+        DispatcherHarness harness = new DispatcherHarness();
+        harness.arrive("table", "booking").advance(10_001);
+        assertThat(harness.refused()).isEmpty();
+        harness.dispatcher.onCallerLeft(new RequestId("table"), harness.now(), harness.effects);
+        harness.advance(1);
+        assertThat(harness.refused().orElseThrow().refusal().run()).isEqualTo(RunState.UNKNOWN);
     }
 
     @Test
-    void aBookingThatAnswersAfterItsDeadlineIsRecordedForTheNextAsker() {
-        // The ledger is slow: the guest was told "unknown" at the deadline, then the confirmation comes. A guest who
-        // asks again with the same key must get it, or would book a second table under a new key.
-        Session session = new Session();
-        session.arrive("table", "booking").won("table").pass(10_000);
-        assertThat(session.refused().orElseThrow().refusal().run()).isEqualTo(RunState.UNKNOWN);
-        session.complete("table", "book", 1);
-        assertThat(session.lines).contains("  < settle table SERVED run");
+    void aBookingThatCompletesAfterItsDeadlineIsRecordedForRetries() {
+        // Guards against a double booking: the outcome was reported as unknown at the deadline, and the confirmation
+        // arrives later. A retry with the same key must receive it, or the caller would book a second table under a new
+        // key.
+        DispatcherHarness harness = new DispatcherHarness();
+        harness.arrive("table", "booking").claimWon("table").advance(10_000);
+        assertThat(harness.refused().orElseThrow().refusal().run()).isEqualTo(RunState.UNKNOWN);
+        harness.complete("table", "book", 1);
+        assertThat(harness.lines).contains("  < settle table SERVED run");
     }
 
     @Test
-    void aRequestThatNoUpstreamMayTakeIsRefusedAtOnceAndSaidNotToHaveRun() {
-        Session session = new Session();
-        session.upstreams.out.add(new VmId("encode-1"));
-        session.upstreams.out.add(new VmId("encode-2"));
-        session.arrive("draft", "menu-draft");
-        assertThat(session.refused().orElseThrow().refusal().code()).isEqualTo(ResultCode.NO_UPSTREAM);
-        assertThat(session.refused().orElseThrow().refusal().run()).isEqualTo(RunState.NOT_RUN);
-        assertThat(session.refused().orElseThrow().refusal().retryAfter()).isPositive();
+    void aRequestWithoutAnUpstreamInServiceIsRefusedAtOnceAsNotRun() {
+        DispatcherHarness harness = new DispatcherHarness();
+        harness.upstreams.outOfService.add(new VmId("encode-1"));
+        harness.upstreams.outOfService.add(new VmId("encode-2"));
+        harness.arrive("draft", "menu-draft");
+        assertThat(harness.refused().orElseThrow().refusal().code()).isEqualTo(ResultCode.NO_UPSTREAM);
+        assertThat(harness.refused().orElseThrow().refusal().run()).isEqualTo(RunState.NOT_RUN);
+        assertThat(harness.refused().orElseThrow().refusal().retryAfter()).isPositive();
     }
 
     @Test
     void aQueuedRequestIsRefusedWhenItsPoolGoesOutOfService() {
-        Session session = new Session();
-        session.arrive("one", "menu-draft").arrive("two", "menu-draft").arrive("three", "menu-draft");
-        session.upstreams.out.add(new VmId("encode-1"));
-        session.upstreams.out.add(new VmId("encode-2"));
-        session.pass(10);
-        assertThat(session.refused().orElseThrow().request().value()).isEqualTo("three");
-        assertThat(session.refused().orElseThrow().refusal().run()).isEqualTo(RunState.NOT_RUN);
+        DispatcherHarness harness = new DispatcherHarness();
+        harness.arrive("one", "menu-draft").arrive("two", "menu-draft").arrive("three", "menu-draft");
+        harness.upstreams.outOfService.add(new VmId("encode-1"));
+        harness.upstreams.outOfService.add(new VmId("encode-2"));
+        harness.advance(10);
+        assertThat(harness.refused().orElseThrow().request().value()).isEqualTo("three");
+        assertThat(harness.refused().orElseThrow().refusal().run()).isEqualTo(RunState.NOT_RUN);
     }
 
     @Test
     void aRequestThatCannotMakeItsDeadlineIsRefusedOnArrival() {
-        Session session = new Session();
-        session.upstreams.usual = Optional.of(Duration.ofSeconds(4));
-        session.arrive("draft", "menu-draft");
-        assertThat(session.refused().orElseThrow().refusal().code()).isEqualTo(ResultCode.DEADLINE_CANNOT_BE_MET);
+        DispatcherHarness harness = new DispatcherHarness();
+        harness.upstreams.typicalDuration = Optional.of(Duration.ofSeconds(4));
+        harness.arrive("draft", "menu-draft");
+        assertThat(harness.refused().orElseThrow().refusal().code()).isEqualTo(ResultCode.DEADLINE_CANNOT_BE_MET);
     }
 
     @Test
-    void aSilentAttemptIsGivenUpAndTriedElsewhere() {
-        // The connection to an encoder goes silent for good: no error ever comes. The attempt shows no progress, is
-        // given up, and another server gets it, long before the deadline.
-        Session session = new Session();
-        session.arrive("draft", "menu-draft");
-        session.upstreams.silent = true;
-        session.pass(1000);
-        session.upstreams.silent = false;
-        session.end("draft", "encode", 1, LOST);
-        assertThat(session.started()).hasSize(1);
-        assertThat(session.upstreams.finishes).contains("encode-1 FAILED");
+    void aStalledAttemptIsCancelledAndRetriedOnAnotherUpstream() {
+        // Guards against a connection that goes dead without an error. The attempt makes no progress, is cancelled, and
+        // is retried on another upstream long before the deadline.
+        DispatcherHarness harness = new DispatcherHarness();
+        harness.arrive("draft", "menu-draft");
+        harness.upstreams.allStalled = true;
+        harness.advance(1000);
+        harness.upstreams.allStalled = false;
+        harness.end("draft", "encode", 1, CONNECTION_RESET);
+        assertThat(harness.started()).hasSize(1);
+        assertThat(harness.upstreams.finishes).contains("encode-1 FAILED");
     }
 
     /**
-     * Story: a node that ends has 5.9 s left for a draft; the three stages that are missing usually take 6 s. Begun all the
-     * same, the draft's text is cut in its middle when the grace is over, and the engines have worked for nothing. Refused
-     * before its text begins, the caller asks another node at once.
+     * Guards against responses that are cut off by a shutdown: a node has 5.9 s left and the three remaining stages
+     * usually record 6 s. If the next stage started, the text would be cut off at the end of the grace period and the
+     * work of the engines wasted. Refused before its text begins, the caller can retry on another node at once.
      */
     @Test
-    void noStageBeginsWhenWhatIsLeftDoesNotCoverWhatTheStagesUsuallyTake() {
-        Session session = new Session();
-        session.upstreams.usual = Optional.of(Duration.ofSeconds(2));
-        session.arrive("draft", "menu-draft");
-        session.drain.start(session.now());
-        session.pass(1_700).complete("draft", "encode", 1);
-        assertThat(session.started()).isEmpty();
-        assertThat(session.refused().orElseThrow().refusal().code()).isEqualTo(ResultCode.SHUTTING_DOWN);
+    void noStageStartsWhenTheRemainingTimeDoesNotCoverTheUsualTimeOfTheStages() {
+        DispatcherHarness harness = new DispatcherHarness();
+        harness.upstreams.typicalDuration = Optional.of(Duration.ofSeconds(2));
+        harness.arrive("draft", "menu-draft");
+        harness.drain.start(harness.now());
+        harness.advance(1_700).complete("draft", "encode", 1);
+        assertThat(harness.started()).isEmpty();
+        assertThat(harness.refused().orElseThrow().refusal().code()).isEqualTo(ResultCode.SHUTTING_DOWN);
     }
 
     @Test
-    void noHedgeBeginsWhenWhatIsLeftDoesNotCoverIt() {
-        Session session = new Session();
-        session.arrive("draft", "menu-draft");
-        session.drain.start(session.now());
-        session.pass(7_500);
-        session.upstreams.usual = Optional.of(Duration.ofMillis(50));
-        session.pass(10);
-        assertThat(session.started()).isEmpty();
+    void noHedgeStartsWhenTheRemainingTimeDoesNotCoverIt() {
+        DispatcherHarness harness = new DispatcherHarness();
+        harness.arrive("draft", "menu-draft");
+        harness.drain.start(harness.now());
+        harness.advance(7_500);
+        harness.upstreams.typicalDuration = Optional.of(Duration.ofMillis(50));
+        harness.advance(10);
+        assertThat(harness.started()).isEmpty();
     }
 
     /**
-     * Story: a booking waits for a server with room when its node is asked to end. Its time to the deadline is not covered.
-     * Kept in the queue it may be sent late and cut; refused at once as not run, its key is free for another node.
+     * Guards against interrupting a non-idempotent request: a booking is queued when its node starts to shut down, and
+     * its deadline lies after the end of the grace period. If it stayed in the queue, it might be sent late and be
+     * interrupted; refused at once as not run, its key can be claimed by another node.
      */
     @Test
-    void aBookingThatWaitsForAServerIsRefusedWhenWhatIsLeftDoesNotCoverIt() {
-        Session session = new Session();
+    void aQueuedBookingIsRefusedWhenTheRemainingTimeDoesNotCoverIt() {
+        DispatcherHarness harness = new DispatcherHarness();
         for (String table : List.of("one", "two", "three")) {
-            session.arrive(table, "booking").won(table);
+            harness.arrive(table, "booking").claimWon(table);
         }
-        session.drain.start(session.now());
-        session.pass(10);
-        assertThat(session.refused().orElseThrow().request().value()).isEqualTo("three");
-        assertThat(session.refused().orElseThrow().refusal().run()).isEqualTo(RunState.NOT_RUN);
-        assertThat(session.lines).contains("  < abandon three");
+        harness.drain.start(harness.now());
+        harness.advance(10);
+        assertThat(harness.refused().orElseThrow().request().value()).isEqualTo("three");
+        assertThat(harness.refused().orElseThrow().refusal().run()).isEqualTo(RunState.NOT_RUN);
+        assertThat(harness.lines).contains("  < abandon three");
     }
 
     @Property(tries = 100, seed = "20261201")
-    void aPoolThatFailsAsAWholeSeesAtMostAFifthMoreAttemptsThanRequests(@ForAll long seed) {
-        // All encoders are down. Each request would be tried three times, and the pool would face three times its
-        // load on its way back. The budget keeps attempts at 1.2 a request, but for the few that were saved up.
+    void aPoolThatFailsCompletelyGetsAtMostAFifthMoreAttemptsThanRequests(@ForAll long seed) {
+        // Guards against retry storms: all upstreams of a pool are down, and with three attempts per request the pool
+        // would face three times its load when it recovers. The retry budget limits attempts to 1.2 per request, plus
+        // the few retries saved up.
         RandomGenerator random = new SplittableRandom(seed);
-        Session session = new Session();
-        session.upstreams.allowance = 1000;
+        DispatcherHarness harness = new DispatcherHarness();
+        harness.upstreams.allowance = 1000;
         int requests = 200;
         int attempts = 0;
         List<Attempt> open = new ArrayList<>();
         for (int number = 0; number < requests; number++) {
-            session.arrive("r" + number, "menu-draft");
-            open.addAll(session.started());
+            harness.arrive("r" + number, "menu-draft");
+            open.addAll(harness.started());
             while (!open.isEmpty() && random.nextInt(3) > 0) {
                 Attempt failing = open.remove(random.nextInt(open.size()));
                 attempts++;
-                session.end(
-                        failing.id().request().value(), "encode", failing.id().number(), LOST);
-                open.addAll(session.started());
+                harness.end(
+                        failing.id().request().value(), "encode", failing.id().number(), CONNECTION_RESET);
+                open.addAll(harness.started());
             }
         }
         while (!open.isEmpty()) {
             Attempt failing = open.remove(0);
             attempts++;
-            session.end(failing.id().request().value(), "encode", failing.id().number(), LOST);
-            open.addAll(session.started());
+            harness.end(failing.id().request().value(), "encode", failing.id().number(), CONNECTION_RESET);
+            open.addAll(harness.started());
         }
         assertThat(attempts).isLessThanOrEqualTo((int) (1.2 * requests + 5));
-        assertThat(session.dispatcher.idle()).isTrue();
+        assertThat(harness.dispatcher.idle()).isTrue();
     }
 
     @Property(tries = 200, seed = "20261202")
-    void everyRequestGetsOneAnswerAndNotRunIsTrue(@ForAll long seed) {
-        // Random ends in random order, deadlines passing, callers leaving: each request is answered once, and one that
-        // was told "not run" has had no attempt that may have reached an upstream.
+    void everyRequestGetsOneAnswerAndNotRunIsCorrect(@ForAll long seed) {
+        // Attempts end randomly and in random order, deadlines advance and callers disconnect: each request is answered
+        // exactly once, and no request that was answered "not run" had an attempt that may have reached an upstream.
         RandomGenerator random = new SplittableRandom(seed);
-        Session session = new Session(new DispatchLimits(6, 0.2, 0.5));
-        session.upstreams.usual = Optional.of(Duration.ofMillis(40));
-        AnswerLedger ledger = new AnswerLedger();
+        DispatcherHarness harness = new DispatcherHarness(new DispatchLimits(6, 0.2, 0.5));
+        harness.upstreams.typicalDuration = Optional.of(Duration.ofMillis(40));
+        AnswerAudit audit = new AnswerAudit();
         List<Attempt> open = new ArrayList<>();
         for (int step = 0; step < 300; step++) {
-            randomStep(session, random, open, ledger, step);
-            open.addAll(session.started());
-            ledger.take(session.last);
+            randomStep(harness, random, open, audit, step);
+            open.addAll(harness.started());
+            audit.onEffects(harness.lastEffects);
         }
         for (int wait = 0; wait < 20; wait++) {
-            session.pass(1000);
-            ledger.take(session.last);
-            open.addAll(session.started());
+            harness.advance(1000);
+            audit.onEffects(harness.lastEffects);
+            open.addAll(harness.started());
             for (Attempt attempt : List.copyOf(open)) {
                 open.remove(attempt);
-                finish(session, attempt, LOST, ledger);
-                open.addAll(session.started());
-                ledger.take(session.last);
+                finish(harness, attempt, CONNECTION_RESET, audit);
+                open.addAll(harness.started());
+                audit.onEffects(harness.lastEffects);
             }
         }
-        assertThat(ledger.problems()).isEmpty();
-        assertThat(session.dispatcher.idle()).isTrue();
+        assertThat(audit.problems()).isEmpty();
+        assertThat(harness.dispatcher.idle()).isTrue();
     }
 
     private static void randomStep(
-            Session session, RandomGenerator random, List<Attempt> open, AnswerLedger ledger, int step) {
+            DispatcherHarness harness, RandomGenerator random, List<Attempt> open, AnswerAudit audit, int step) {
         int choice = random.nextInt(10);
         if (choice < 3) {
-            ledger.arrived("r" + step);
-            session.arrive("r" + step, random.nextInt(4) == 0 ? "booking" : "menu-draft");
-            if (session.lines.getLast().startsWith("  < claim")) {
-                session.won("r" + step);
+            audit.arrived("r" + step);
+            harness.arrive("r" + step, random.nextInt(4) == 0 ? "booking" : "menu-draft");
+            if (harness.lines.getLast().startsWith("  < claim")) {
+                harness.claimWon("r" + step);
             }
             return;
         }
         if (choice < 8 && !open.isEmpty()) {
             Attempt attempt = open.remove(random.nextInt(open.size()));
-            finish(session, attempt, end(random), ledger);
+            finish(harness, attempt, end(random), audit);
             return;
         }
-        session.pass(random.nextInt(200));
+        harness.advance(random.nextInt(200));
     }
 
-    private static void finish(Session session, Attempt attempt, AttemptEnd end, AnswerLedger ledger) {
-        ledger.ended(attempt, end);
-        session.end(
+    private static void finish(DispatcherHarness harness, Attempt attempt, AttemptEnd end, AnswerAudit audit) {
+        audit.attemptEnded(attempt, end);
+        harness.end(
                 attempt.id().request().value(),
                 attempt.stage().id().value(),
                 attempt.id().number(),
@@ -278,8 +283,8 @@
 
     private static AttemptEnd end(RandomGenerator random) {
         return switch (random.nextInt(8)) {
-            case 0 -> LOST;
-            case 1 -> REFUSED_CONNECTION;
+            case 0 -> CONNECTION_RESET;
+            case 1 -> CONNECTION_REFUSED;
             case 2 -> new AttemptEnd.Overloaded();
             case 3 -> new AttemptEnd.NotStarted();
             default -> new AttemptEnd.Completed(Payload.of("1"));
--- a/wagtaillug-core/src/test/java/org/wagtaillug/dispatch/FakeUpstreams.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/dispatch/FakeUpstreams.java
@@ -23,10 +23,10 @@
     final Map<PoolId, List<Vm>> pools = new HashMap<>();
     final Map<VmId, Integer> inFlight = new HashMap<>();
     final List<String> finishes = new ArrayList<>();
-    final Set<VmId> out = new HashSet<>();
+    final Set<VmId> outOfService = new HashSet<>();
     int allowance = 1;
-    Optional<Duration> usual = Optional.empty();
-    boolean silent;
+    Optional<Duration> typicalDuration = Optional.empty();
+    boolean allStalled;
 
     FakeUpstreams pool(String pool, int servers) {
         List<Vm> vms = new ArrayList<>();
@@ -47,13 +47,13 @@
     @Override
     public List<Vm> inPool(PoolId pool) {
         return pools.getOrDefault(pool, List.of()).stream()
-                .filter(vm -> !out.contains(vm.id()))
+                .filter(vm -> !outOfService.contains(vm.id()))
                 .toList();
     }
 
     @Override
     public boolean inService(VmId upstream) {
-        return !out.contains(upstream);
+        return !outOfService.contains(upstream);
     }
 
     @Override
@@ -114,16 +114,16 @@
 
     @Override
     public Optional<Duration> quantile(PoolId pool, double share) {
-        return usual;
+        return typicalDuration;
     }
 
     @Override
     public Optional<Duration> firstProgressQuantile(PoolId pool, double share) {
-        return usual;
+        return typicalDuration;
     }
 
     @Override
     public boolean stalled(VmId upstream, Instant startedAt, Instant lastProgress, Instant now) {
-        return silent;
+        return allStalled;
     }
 }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/dispatch/StreamJoinerTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/dispatch/StreamJoinerTest.java
@@ -13,14 +13,14 @@
 
 class StreamJoinerTest {
     @Property(tries = 300, seed = "20261203")
-    void tokensOfBrokenResumedAndRivalStreamsComeOutOnceAndInOrder(@ForAll long seed) {
-        // An engine's stream breaks in the middle and is resumed elsewhere while a rival runs as well. A reader would
-        // see words missing or doubled. Each attempt sends the same tokens, from its own offset, and may stop
+    void tokensOfBrokenResumedAndHedgedStreamsAreEmittedOnceAndInOrder(@ForAll long seed) {
+        // Guards against missing or duplicated tokens when a stream breaks and is resumed on another engine while a
+        // hedged attempt runs in parallel. Each attempt sends the same tokens from its own offset and may stop
         // anywhere.
         SplittableRandom random = new SplittableRandom(seed);
         int length = 1 + random.nextInt(40);
-        List<String> out = new ArrayList<>();
-        StreamJoiner joiner = new StreamJoiner((offset, text) -> out.add(offset + ":" + text));
+        List<String> emitted = new ArrayList<>();
+        StreamJoiner joiner = new StreamJoiner((offset, text) -> emitted.add(offset + ":" + text));
         List<int[]> streams = new ArrayList<>();
         int attempts = 0;
         while (joiner.next() < length) {
@@ -42,7 +42,7 @@
         for (int offset = 0; offset < length; offset++) {
             expected.add(offset + ":t" + offset);
         }
-        assertThat(out).isEqualTo(expected);
+        assertThat(emitted).isEqualTo(expected);
         assertThat(joiner.whole(length)).isTrue();
         assertThat(joiner.whole(length + 1)).isFalse();
     }
