--- a/wagtaillug-core/src/main/java/org/wagtaillug/rollout/RolloutCoordinator.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/rollout/RolloutCoordinator.java
@@ -12,8 +12,9 @@
 import org.wagtaillug.id.PoolId;
 
 /**
- * Decides how each open rollout goes on. One node does so at a time; if two believe to, the store takes the write of one of
- * them only, as each names the position up to which it has read.
+ * Decides the next step of each open rollout. Normally one node coordinates; if two nodes believe to be the
+ * coordinator, the store accepts the write of only one of them, because each write states the position up to which its
+ * node has read.
  */
 public final class RolloutCoordinator {
     private static final Duration WRITE_RETRY_INTERVAL = Duration.ofMillis(400);
@@ -22,46 +23,46 @@
     private final RolloutLimits limits;
     private final Map<Long, Progress> progresses = new HashMap<>();
 
-    /** What the directory says of the versions of a pool. */
+    /** The versions of the upstreams of a pool, according to the directory. */
     public interface Versions {
-        /** Whether an upstream of a version can be used. */
+        /** Whether the pool has a usable upstream of a version. */
         boolean available(PoolId pool, String version);
 
-        /** All versions that upstreams of a pool have. */
+        /** All versions of the upstreams of a pool. */
         Set<String> of(PoolId pool);
     }
 
     /**
-     * A status to write.
+     * A rollout status to write to the store.
      *
-     * @param order which rollout
-     * @param status its status
-     * @param comparison what the new version has shown
+     * @param order the order of the rollout
+     * @param status its new status
+     * @param comparison the comparison of the new version with the old one
      */
     public record Write(RolloutOrder order, RolloutStatus status, VersionComparison comparison) {}
 
     private static final class Progress {
         private final VersionComparison comparison = new VersionComparison();
-        private final Instant seenAt;
+        private final Instant firstSeenAt;
         private Instant writeDue = Instant.EPOCH;
-        private Duration before = Duration.ZERO;
+        private Duration elapsedBefore = Duration.ZERO;
 
-        private Progress(Instant seenAt) {
-            this.seenAt = seenAt;
+        private Progress(Instant firstSeenAt) {
+            this.firstSeenAt = firstSeenAt;
         }
 
         private Duration elapsed(Instant now) {
-            return before.plus(Duration.between(seenAt, now));
+            return elapsedBefore.plus(Duration.between(firstSeenAt, now));
         }
     }
 
-    /** Coordinates the rollouts that a node knows of. */
+    /** Creates a coordinator of the rollouts that a node knows of. */
     public RolloutCoordinator(Rollouts rollouts, RolloutLimits limits) {
         this.rollouts = rollouts;
         this.limits = limits;
     }
 
-    /** A node reports what requests have seen. */
+    /** A node has reported samples of requests. */
     public void onSamples(long order, List<RolloutSample> samples, Instant now) {
         VersionComparison comparison = progress(order, now).comparison;
         samples.forEach(comparison::add);
@@ -71,22 +72,25 @@
         return progresses.computeIfAbsent(order, id -> new Progress(now));
     }
 
-    /** An order is known from now on, whoever coordinates it. */
+    /** Records when this node learned of an order, whether it coordinates the rollout or not. */
     public void onOrder(RolloutOrder order, Instant now) {
         progress(order.id(), now);
     }
 
-    /** A status was read; one that was written before this node knew of the order tells how old the order is. */
+    /**
+     * A status was read. If it was written elapsedBefore this node learned of the order, its elapsed time corrects the
+     * age of the order.
+     */
     public void onStatus(RolloutStatus status, Instant now) {
         Progress progress = progress(status.order(), now);
         progress.writeDue = Instant.EPOCH;
-        Duration missing = status.elapsed().minus(progress.elapsed(now));
-        if (missing.isPositive()) {
-            progress.before = progress.before.plus(missing);
+        Duration difference = status.elapsed().minus(progress.elapsed(now));
+        if (difference.isPositive()) {
+            progress.elapsedBefore = progress.elapsedBefore.plus(difference);
         }
     }
 
-    /** The statuses to write now, by the node that coordinates. */
+    /** The statuses that the coordinating node has to write now. */
     public List<Write> due(Versions versions, Instant now) {
         List<Write> writes = new ArrayList<>();
         for (RolloutOrder order : rollouts.open()) {
@@ -94,15 +98,15 @@
             if (now.isBefore(progress.writeDue)) {
                 continue;
             }
-            Optional<RolloutStatus> held = rollouts.status(order);
-            RolloutStatus status = held.orElseGet(() -> RolloutStatus.begun(order, replaced(versions, order)));
+            Optional<RolloutStatus> stored = rollouts.status(order);
+            RolloutStatus status = stored.orElseGet(() -> RolloutStatus.initial(order, replaced(versions, order)));
             boolean available = versions.available(order.pool(), order.version());
             RolloutStatus next =
                     RolloutPlan.next(order, status, progress.comparison, limits, available, progress.elapsed(now));
             if (next.state() == RolloutStatus.State.COMPLETED) {
-                next = next.replacing(replaced(versions, order));
+                next = next.withReplaced(replaced(versions, order));
             }
-            if (held.isEmpty() || !next.equals(status)) {
+            if (stored.isEmpty() || !next.equals(status)) {
                 progress.writeDue = now.plus(WRITE_RETRY_INTERVAL);
                 writes.add(new Write(order, next, progress.comparison));
             }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/rollout/RolloutLimits.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/rollout/RolloutLimits.java
@@ -1,12 +1,12 @@
 package org.wagtaillug.rollout;
 
 /**
- * What a version that may be bad gets at most before it is known to be good, from all nodes together.
+ * Limits on the requests that a candidate version may receive from all nodes together before it has proved to be good.
  *
- * @param ratio of the requests that reach its pool during the rollout
- * @param fixed requests beyond that
+ * @param ratio the fraction of the requests that reach its pool during the rollout
+ * @param fixed the number of requests allowed in addition
  */
 public record RolloutLimits(double ratio, double fixed) {
-    /** Holds unless the settings say otherwise. */
+    /** The default limits. */
     public static final RolloutLimits DEFAULT = new RolloutLimits(0.1, 50);
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/rollout/RolloutSample.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/rollout/RolloutSample.java
@@ -3,11 +3,11 @@
 import java.time.Duration;
 
 /**
- * What one request saw at an upstream of a pool that is being rolled out.
+ * The result of one request to an upstream of a pool with a rollout in progress.
  *
- * @param kind requests of one kind are compared with one another
- * @param candidate whether the upstream has the new version
- * @param failed whether it failed
- * @param took from the sending to the answer's beginning, or to the failure
+ * @param kind the kind of request; only requests of the same kind are compared
+ * @param candidate whether the upstream runs the candidate version
+ * @param failed whether the request failed
+ * @param took the time from sending the request to the start of the response, or to the failure
  */
 public record RolloutSample(String kind, boolean candidate, boolean failed, Duration took) {}
--- a/wagtaillug-core/src/main/java/org/wagtaillug/rollout/RolloutStatus.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/rollout/RolloutStatus.java
@@ -5,56 +5,56 @@
 import java.util.Set;
 
 /**
- * How far a rollout is, as the store holds it for all nodes.
+ * The progress of a rollout, as stored for all nodes.
  *
- * @param order the id of the order that it answers
+ * @param order the id of the order that it belongs to
  * @param version the version to move to
- * @param state how far it is
+ * @param state the state of the rollout
  * @param share the share of the pool's requests that go to the version, 0 to 1
- * @param elapsed the time from the order to this status, as the node that wrote it knew it
- * @param replaced the versions that the pool had before
+ * @param elapsed the time from the order to this status, according to the node that wrote it
+ * @param replaced the versions that the pool had before the rollout
  */
 public record RolloutStatus(
         long order, String version, State state, double share, Duration elapsed, Set<String> replaced) {
-    /** Copies the set. */
+    /** Makes a defensive copy of the set. */
     public RolloutStatus {
         replaced = Set.copyOf(replaced);
     }
 
-    /** How far a rollout is. */
+    /** The state of a rollout. */
     public enum State {
-        /** Both versions are there; the new one gets a share. */
+        /** Both versions receive requests; the new one receives a share. */
         IN_PROGRESS,
-        /** The new version gets everything. Final. */
+        /** The new version receives all requests. Final. */
         COMPLETED,
-        /** The new version gets nothing any more. Final. */
+        /** The new version receives no more requests. Final. */
         REVERTED;
 
-        /** Whether nothing follows it. */
+        /** Whether no other state can follow. */
         public boolean isFinal() {
             return this != IN_PROGRESS;
         }
     }
 
-    /** The status of an order of which nothing is written yet. */
-    public static RolloutStatus begun(RolloutOrder order, Set<String> replaced) {
+    /** The initial status of an order that has no stored status yet. */
+    public static RolloutStatus initial(RolloutOrder order, Set<String> replaced) {
         return new RolloutStatus(order.id(), order.version(), State.IN_PROGRESS, 0, Duration.ZERO, replaced);
     }
 
-    /** The same rollout with another share. */
-    public RolloutStatus withShare(double newest, Duration since) {
-        return new RolloutStatus(order, version, state, newest, since, replaced);
+    /** Returns this status with another share. */
+    public RolloutStatus withShare(double newShare, Duration sinceOrder) {
+        return new RolloutStatus(order, version, state, newShare, sinceOrder, replaced);
     }
 
-    /** The same rollout with further versions that the new one takes the place of. */
-    public RolloutStatus replacing(Set<String> versions) {
+    /** Returns this status with additional replaced versions. */
+    public RolloutStatus withReplaced(Set<String> versions) {
         Set<String> all = new HashSet<>(replaced);
         all.addAll(versions);
         return new RolloutStatus(order, version, state, share, elapsed, all);
     }
 
-    /** The same rollout at its end. */
-    public RolloutStatus ended(State end, Duration since) {
-        return new RolloutStatus(order, version, end, end == State.COMPLETED ? 1 : 0, since, replaced);
+    /** Returns this status with a final state. */
+    public RolloutStatus ended(State finalState, Duration sinceOrder) {
+        return new RolloutStatus(order, version, finalState, finalState == State.COMPLETED ? 1 : 0, sinceOrder, replaced);
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/rollout/Rollouts.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/rollout/Rollouts.java
@@ -10,21 +10,23 @@
 import org.wagtaillug.directory.VersionRule;
 import org.wagtaillug.id.PoolId;
 
-/** The rollouts that this node knows of: which versions of a pool's upstreams its requests go to. */
+/**
+ * The rollouts that this node knows of. They determine which versions of a pool's upstreams may receive its requests.
+ */
 public final class Rollouts {
     private final Map<PoolId, RolloutOrder> orders = new HashMap<>();
     private final Map<PoolId, RolloutStatus> statuses = new HashMap<>();
     private final Set<PoolId> withdrawn = new HashSet<>();
 
-    /** An operator orders a rollout. */
+    /** An operator has ordered a rollout. */
     public void onOrder(RolloutOrder order) {
         orders.put(order.pool(), order);
         withdrawn.remove(order.pool());
     }
 
     /**
-     * An operator takes an order back: nothing more moves. The candidate version still gets nothing, as its
-     * upstreams may be listed for some seconds.
+     * An operator has withdrawn an order, which stops the rollout. The candidate version still receives no requests,
+     * because its upstreams may remain in the directory for some seconds.
      */
     public void onWithdrawn(PoolId pool) {
         withdrawn.add(pool);
@@ -40,17 +42,17 @@
         statuses.remove(pool);
     }
 
-    /** The order for a pool, if there is one. */
+    /** The newest order for a pool, if any. */
     public Optional<RolloutOrder> order(PoolId pool) {
         return Optional.ofNullable(orders.get(pool));
     }
 
-    /** The status of the order for a pool; empty if none is written yet. */
+    /** The status of an order; empty if none has been written yet. */
     public Optional<RolloutStatus> status(RolloutOrder order) {
         return Optional.ofNullable(statuses.get(order.pool())).filter(status -> status.order() == order.id());
     }
 
-    /** The orders that are neither completed, reverted nor taken back. */
+    /** The orders that are neither completed, reverted nor withdrawn. */
     public List<RolloutOrder> open() {
         List<RolloutOrder> open = new ArrayList<>();
         for (RolloutOrder order : orders.values()) {
@@ -63,7 +65,7 @@
         return open;
     }
 
-    /** The share of a pool's requests that goes to the new version; empty without an open rollout. */
+    /** The share of a pool's requests that the new version receives; empty if no rollout is open. */
     public Optional<Double> share(PoolId pool) {
         return order(pool)
                 .filter(order -> open().contains(order))
@@ -71,9 +73,9 @@
     }
 
     /**
-     * The versions that a request may go to.
+     * The versions that may receive a request.
      *
-     * @param canary whether the request is one of the share that the new version gets
+     * @param canary whether the request belongs to the canary share
      */
     public VersionRule rule(PoolId pool, boolean canary) {
         RolloutOrder order = orders.get(pool);
--- a/wagtaillug-core/src/main/java/org/wagtaillug/rollout/VersionComparison.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/rollout/VersionComparison.java
@@ -11,42 +11,45 @@
 import java.util.Optional;
 
 /**
- * Tells whether a new version is worse than the one before it.
+ * Decides whether a new version is worse than the previous one.
  *
- * <p>A sequential test (CUSUM of log-likelihood ratios) for each kind of request and for all together: it needs few answers
- * of a version that fails often, finds one that turns bad later or for one kind only, and seldom condemns a good one. An
- * answer counts as bad if it failed or took several times as long as most answers of the old version; the old version's own
- * rate of bad answers is the baseline.
+ * <p>A sequential test (CUSUM of log-likelihood ratios) per kind of request and over all kinds: it needs few answers of
+ * a version that fails often, detects a version that turns bad later or for one kind only, and has a low false-positive
+ * rate. An answer is bad if it failed or took several times the median of the old version; the rate of bad answers of
+ * the old version is the baseline.
  */
 public final class VersionComparison {
     private static final int MAX_BASELINE = 128;
     private static final int MIN_BASELINE = 8;
 
-    /** Longer than the median of the old version by this factor is slow; cold prompt caches alone stay below it. */
+    /**
+     * An answer is slow if it takes longer than the median of the old version by this factor; cold prompt caches alone
+     * stay below it.
+     */
     private static final int SLOW_FACTOR = 4;
 
-    /** Bad answers beyond the baseline that a good version may have, as servers that have just started do. */
+    /** The rate of bad answers above the baseline that is tolerated, as newly started servers have more of them. */
     private static final double TOLERANCE = 0.05;
 
     private static final double MAX_BASELINE_RATE = 0.5;
 
-    /** Bad answers beyond that which make a version bad. */
-    private static final double EFFECT = 0.3;
+    /** The rate of bad answers above the tolerated one at which a version is bad. */
+    private static final double MIN_EFFECT = 0.3;
 
-    /** Sum of log-likelihood ratios at which the version counts as bad. */
+    /** The sum of log-likelihood ratios at which the version is considered bad. */
     private static final double THRESHOLD = 5;
 
     private static final String ALL_KINDS = "";
 
     private final Map<String, Baseline> baselines = new HashMap<>();
     private final Map<String, Double> sums = new HashMap<>();
-    private int candidates;
-    private int bad;
+    private int candidateCount;
+    private int badCandidateCount;
 
-    /** The newest answers of the old version to one kind of request. */
+    /** The most recent answers of the old version to one kind of request. */
     private static final class Baseline {
         private final Deque<RolloutSample> samples = new ArrayDeque<>();
-        private Optional<Duration> slowest = Optional.empty();
+        private Optional<Duration> slowLimit = Optional.empty();
         private double badRate;
         private boolean current;
 
@@ -63,10 +66,9 @@
                 return;
             }
             current = true;
-            slowest =
-                    samples.size() < MIN_BASELINE ? Optional.empty() : Optional.of(median().multipliedBy(SLOW_FACTOR));
-            long badOnes = samples.stream().filter(this::bad).count();
-            badRate = Math.min(MAX_BASELINE_RATE, badOnes / (double) Math.max(MIN_BASELINE, samples.size()));
+            slowLimit = samples.size() < MIN_BASELINE ? Optional.empty() : Optional.of(median().multipliedBy(SLOW_FACTOR));
+            long badCount = samples.stream().filter(this::bad).count();
+            badRate = Math.min(MAX_BASELINE_RATE, badCount / (double) Math.max(MIN_BASELINE, samples.size()));
         }
 
         private Duration median() {
@@ -77,11 +79,11 @@
         }
 
         private boolean bad(RolloutSample sample) {
-            return sample.failed() || slowest.isPresent() && sample.took().compareTo(slowest.get()) > 0;
+            return sample.failed() || slowLimit.isPresent() && sample.took().compareTo(slowLimit.get()) > 0;
         }
     }
 
-    /** Takes in what a request saw. */
+    /** Adds the result of a request. */
     public void add(RolloutSample sample) {
         Baseline baseline = baselines.computeIfAbsent(sample.kind(), kind -> new Baseline());
         if (!sample.candidate()) {
@@ -90,20 +92,20 @@
         }
         baseline.refresh();
         boolean isBad = baseline.bad(sample);
-        candidates++;
-        bad += isBad ? 1 : 0;
+        candidateCount++;
+        badCandidateCount += isBad ? 1 : 0;
         double ratio = logRatio(isBad, baseline.badRate);
         sums.merge(sample.kind(), Math.max(0, ratio), (sum, any) -> Math.max(0, sum + ratio));
         sums.merge(ALL_KINDS, Math.max(0, ratio), (sum, any) -> Math.max(0, sum + ratio));
     }
 
     private static double logRatio(boolean isBad, double baselineRate) {
-        double good = baselineRate + TOLERANCE;
-        double worse = good + EFFECT;
-        return isBad ? Math.log(worse / good) : Math.log((1 - worse) / (1 - good));
+        double acceptableRate = baselineRate + TOLERANCE;
+        double badVersionRate = acceptableRate + MIN_EFFECT;
+        return isBad ? Math.log(badVersionRate / acceptableRate) : Math.log((1 - badVersionRate) / (1 - acceptableRate));
     }
 
-    /** Whether the new version is worse. */
+    /** Whether the new version is worse than the old one. */
     public boolean worse() {
         for (double sum : sums.values()) {
             if (sum >= THRESHOLD) {
@@ -113,13 +115,13 @@
         return false;
     }
 
-    /** How many answers of the new version were seen. */
+    /** The number of answers of the new version. */
     public int candidates() {
-        return candidates;
+        return candidateCount;
     }
 
-    /** How many of them were bad. */
+    /** The number of bad answers of the new version. */
     public int badCandidates() {
-        return bad;
+        return badCandidateCount;
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/rollout/package-info.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/rollout/package-info.java
@@ -1,2 +1,4 @@
-/** Moves a pool's requests to a new version of its upstreams step by step, and back if that version is bad. */
+/**
+ * Rollouts: gradually move a pool's requests to a new version of its upstreams, and revert if that version is worse.
+ */
 package org.wagtaillug.rollout;
--- a/wagtaillug-core/src/test/java/org/wagtaillug/rollout/VersionComparisonTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/rollout/VersionComparisonTest.java
@@ -14,7 +14,7 @@
 
     private final VersionComparison comparison = new VersionComparison();
 
-    private static Duration usual(Random random) {
+    private static Duration typicalDuration(Random random) {
         return Duration.ofMillis(80 + random.nextInt(120));
     }
 
@@ -22,17 +22,17 @@
         return new RolloutSample("draft", candidate, failed, took);
     }
 
-    private void baseline(Random random, double failing) {
+    private void baseline(Random random, double failureRate) {
         for (int each = 0; each < ANSWERS; each++) {
-            comparison.add(sample(false, random.nextDouble() < failing, usual(random)));
+            comparison.add(sample(false, random.nextDouble() < failureRate, typicalDuration(random)));
         }
     }
 
-    /** Answers until the version counts as worse; all of them if it does not. */
-    private int answersUntilWorse(Random random, double failing, double slow, int factor) {
+    /** The number of answers until the version is found to be worse; {@link #ANSWERS} if it is not. */
+    private int answersUntilWorse(Random random, double failureRate, double slowRate, int factor) {
         for (int each = 1; each <= ANSWERS; each++) {
-            Duration took = usual(random).multipliedBy(random.nextDouble() < slow ? factor : 1);
-            comparison.add(sample(true, random.nextDouble() < failing, took));
+            Duration took = typicalDuration(random).multipliedBy(random.nextDouble() < slowRate ? factor : 1);
+            comparison.add(sample(true, random.nextDouble() < failureRate, took));
             if (comparison.worse()) {
                 return each;
             }
@@ -42,7 +42,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
-    void findsAVersionOfWhichHalfTheAnswersFail(long seed) {
+    void detectsAVersionOfWhichHalfTheAnswersFail(long seed) {
         Random random = new Random(seed);
         baseline(random, 0);
         assertThat(answersUntilWorse(random, 0.46, 0, 1)).isLessThan(30);
@@ -50,28 +50,28 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
-    void findsAVersionOfWhichHalfTheAnswersAreSlow(long seed) {
+    void detectsAVersionOfWhichHalfTheAnswersAreSlow(long seed) {
         Random random = new Random(seed);
         baseline(random, 0.05);
         assertThat(answersUntilWorse(random, 0, 0.5, 8)).isLessThan(50);
     }
 
-    /** Guards against reverting a version that is as good as the one before it, whose servers fail now and then too. */
+    /** Guards against reverting a version that is as good as the previous one, whose servers also fail occasionally. */
     @ParameterizedTest
     @ValueSource(doubles = {0, 0.05, 0.12})
-    void seldomCondemnsAVersionThatIsAsGoodAsTheOneBefore(double failing) {
-        int condemned = 0;
+    void rarelyRejectsAVersionThatIsAsGoodAsThePreviousOne(double failureRate) {
+        int rejected = 0;
         for (long seed = 1; seed <= RUNS; seed++) {
             VersionComparisonTest run = new VersionComparisonTest();
             Random random = new Random(seed);
-            run.baseline(random, failing);
-            condemned += run.answersUntilWorse(random, failing, 0, 1) < ANSWERS ? 1 : 0;
+            run.baseline(random, failureRate);
+            rejected += run.answersUntilWorse(random, failureRate, 0, 1) < ANSWERS ? 1 : 0;
         }
-        assertThat(condemned).isLessThanOrEqualTo(RUNS / 20);
+        assertThat(rejected).isLessThanOrEqualTo(RUNS / 20);
     }
 
     @Test
-    void findsAVersionThatTurnsBadLater() {
+    void detectsAVersionThatTurnsBadLater() {
         Random random = new Random(7);
         baseline(random, 0);
         assertThat(answersUntilWorse(random, 0, 0, 1)).isEqualTo(ANSWERS);
@@ -79,21 +79,21 @@
     }
 
     @Test
-    void findsAVersionThatFailsOneKindOfRequestOnly() {
+    void detectsAVersionThatFailsOnlyOneKindOfRequest() {
         Random random = new Random(8);
         baseline(random, 0);
         int failures = 0;
         while (!comparison.worse() && failures < ANSWERS) {
             for (int each = 0; each < 9; each++) {
-                comparison.add(sample(true, false, usual(random)));
+                comparison.add(sample(true, false, typicalDuration(random)));
             }
-            comparison.add(new RolloutSample("chat", true, true, usual(random)));
+            comparison.add(new RolloutSample("chat", true, true, typicalDuration(random)));
             failures++;
         }
         assertThat(failures).isLessThan(8);
     }
 
-    /** Guards against taking an answer as slow before it is known how long the old version takes. */
+    /** Guards against classifying answers as slow before there is a baseline of the old version. */
     @Test
     void comparesTimesOnlyWithAKnownBaseline() {
         comparison.add(sample(false, false, Duration.ofMillis(1)));
