--- a/wagtaillug-core/src/main/java/org/wagtaillug/feed/ConfigurationItem.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/feed/ConfigurationItem.java
@@ -5,41 +5,41 @@
 import org.wagtaillug.rollout.RolloutOrder;
 import org.wagtaillug.route.ServingConfiguration;
 
-/** What a record of the configuration feed says. */
+/** The decoded content of a record of the configuration feed. */
 public sealed interface ConfigurationItem {
     /**
-     * A whole version.
+     * A complete configuration was published.
      *
-     * @param configuration the version
+     * @param configuration the published configuration
      */
     record Published(ServingConfiguration configuration) implements ConfigurationItem {}
 
     /**
-     * A failure domain goes out of service or comes back.
+     * A failure domain was taken out of service or returned to service.
      *
-     * @param domain which
-     * @param out whether nothing may be sent to its upstreams
+     * @param domain the failure domain
+     * @param out true if no requests may be sent to its upstreams
      */
     record DomainService(DomainId domain, boolean out) implements ConfigurationItem {}
 
     /**
-     * A pool's requests are to move to another version of its upstreams.
+     * A rollout was ordered that moves a pool's requests to another version of its upstreams.
      *
-     * @param order what to move
+     * @param order the order of the rollout
      */
     record RolloutOrdered(RolloutOrder order) implements ConfigurationItem {}
 
     /**
-     * The order of a rollout is taken back.
+     * The order of a rollout was withdrawn.
      *
-     * @param pool which pool's
+     * @param pool the pool of the rollout
      */
     record RolloutWithdrawn(PoolId pool) implements ConfigurationItem {}
 
     /**
-     * Nothing that this version of the program acts on.
+     * A record that this version of the program does not handle.
      *
-     * @param reason for the log
+     * @param reason the reason, for the log
      */
     record Ignored(String reason) implements ConfigurationItem {}
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/feed/DirectoryItem.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/feed/DirectoryItem.java
@@ -3,27 +3,27 @@
 import org.wagtaillug.directory.Listing;
 import org.wagtaillug.id.VmId;
 
-/** What a record of the directory feed says. */
+/** The decoded content of a record of the directory feed. */
 public sealed interface DirectoryItem {
     /**
-     * An upstream is there.
+     * An upstream is listed.
      *
-     * @param listing what it says of itself
+     * @param listing the listing, as published by the upstream
      */
     record Listed(Listing listing) implements DirectoryItem {}
 
     /**
-     * An upstream is gone.
+     * An upstream was removed.
      *
-     * @param upstream which
+     * @param upstream the removed upstream
      */
     record Removed(VmId upstream) implements DirectoryItem {}
 
     /**
-     * The record cannot be read; it names no upstream to use.
+     * The record cannot be decoded, so its upstream cannot be used.
      *
-     * @param upstream under whose name it stands
-     * @param reason for the log
+     * @param upstream the upstream named by the key of the record
+     * @param reason the reason, for the log
      */
     record Unreadable(VmId upstream, String reason) implements DirectoryItem {}
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/feed/Feed.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/feed/Feed.java
@@ -7,34 +7,34 @@
 import java.util.Optional;
 
 /**
- * The newest record of each key of one feed.
+ * The latest record of each key of one feed.
  *
- * <p>Answers may overtake one another, and a store that is behind may answer with old records. Taking them would bring back
- * a route or a key that an operator has dropped, and would show as requests that are handled by an older version than the
- * ones before. A record counts only if its offset is above that of the record that is held, and a position only if it is
- * above the one that was reached; nothing ever goes back while the process lives.
+ * <p>Responses may arrive out of order, and a store that lags behind may return stale records. Applying them
+ * would restore a route or a key that an operator has removed, and requests would be handled by an older version than
+ * earlier ones. A record is applied only if its offset is higher than that of the current record of its key, and the
+ * position only moves forward; neither goes back while the process runs.
  */
 public final class Feed {
-    private final Map<String, FeedRecord> newest = new HashMap<>();
+    private final Map<String, FeedRecord> latest = new HashMap<>();
     private long next;
     private boolean whole;
 
     /**
-     * Takes in what a read gave.
+     * Applies the result of a read.
      *
-     * @return the records that changed something, in the order of their offsets
+     * @return the records that were applied, in the order of their offsets
      */
     public List<FeedRecord> apply(FeedBatch batch) {
         List<FeedRecord> changed = new ArrayList<>();
         for (FeedRecord record : batch.records()) {
-            FeedRecord held = newest.get(record.key());
-            if (held == null || record.offset() > held.offset()) {
-                newest.put(record.key(), record);
+            FeedRecord current = latest.get(record.key());
+            if (current == null || record.offset() > current.offset()) {
+                latest.put(record.key(), record);
                 changed.add(record);
             }
         }
         if (batch.whole() && batch.next() >= next) {
-            changed.addAll(dropMissing(batch));
+            changed.addAll(removeUnlisted(batch));
             whole = true;
         }
         next = Math.max(next, batch.next());
@@ -42,36 +42,36 @@
         return changed;
     }
 
-    /** Keys that a whole listing does not name were removed by records that are no longer kept. */
-    private List<FeedRecord> dropMissing(FeedBatch batch) {
+    /** Removes keys that are missing from a complete listing: the records that removed them are no longer retained. */
+    private List<FeedRecord> removeUnlisted(FeedBatch batch) {
         Map<String, FeedRecord> listed = new HashMap<>();
         batch.records().forEach(record -> listed.put(record.key(), record));
-        List<FeedRecord> dropped = new ArrayList<>();
-        for (FeedRecord held : List.copyOf(newest.values())) {
-            boolean gone = !listed.containsKey(held.key()) && held.value().isPresent() && held.offset() < batch.next();
-            if (gone) {
-                FeedRecord removal = new FeedRecord(held.key(), batch.next() - 1, Optional.empty());
-                newest.put(held.key(), removal);
-                dropped.add(removal);
+        List<FeedRecord> removed = new ArrayList<>();
+        for (FeedRecord current : List.copyOf(latest.values())) {
+            boolean missing = !listed.containsKey(current.key()) && current.value().isPresent() && current.offset() < batch.next();
+            if (missing) {
+                FeedRecord removal = new FeedRecord(current.key(), batch.next() - 1, Optional.empty());
+                latest.put(current.key(), removal);
+                removed.add(removal);
             }
         }
-        return dropped;
+        return removed;
     }
 
-    /** The offset to go on from. */
+    /** The offset from which to read next. */
     public long next() {
         return next;
     }
 
-    /** Whether everything that was written up to {@link #next} is known. */
+    /** Whether all keys written before {@link #next} are known. */
     public boolean whole() {
         return whole;
     }
 
-    /** What a peer that has read up to an offset lacks: everything, if it has read nothing. */
+    /** The records that a peer is missing that has read up to an offset; all of them if it has read nothing. */
     public FeedBatch after(long from) {
         List<FeedRecord> records = new ArrayList<>();
-        for (FeedRecord record : newest.values()) {
+        for (FeedRecord record : latest.values()) {
             if (record.offset() >= from) {
                 records.add(record);
             }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/feed/FeedBatch.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/feed/FeedBatch.java
@@ -3,14 +3,15 @@
 import java.util.List;
 
 /**
- * What a read of a feed gave.
+ * The result of a read of a feed.
  *
- * @param next the offset to go on from
- * @param whole whether {@code records} holds the newest record of every key, so that keys that are not in it are gone
- * @param records in any order
+ * @param next the offset from which to read next
+ * @param whole whether {@code records} contains the latest record of every key, so that keys that it lacks have been
+ *     removed
+ * @param records the records, in any order
  */
 public record FeedBatch(long next, boolean whole, List<FeedRecord> records) {
-    /** Copies the list. */
+    /** Makes a defensive copy of the list. */
     public FeedBatch {
         records = List.copyOf(records);
     }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/feed/FeedName.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/feed/FeedName.java
@@ -2,21 +2,24 @@
 
 import java.time.Duration;
 
-/** A feed, and how it is read. */
+/** The feeds, with the parameters of their reads. */
 public enum FeedName {
-    /** What operators write. Changes are rare and urgent, so a read waits at the end of the feed. */
+    /** Written by operators. Changes are rare and urgent, so reads are long polls. */
     CONFIGURATION(Duration.ofSeconds(2), Duration.ZERO),
     /**
-     * The upstreams' own entries. Dozens of upstreams write every second or so, and a read that waits would come back at
-     * once each time: it is read at intervals instead.
+     * Written by the upstreams. Dozens of them write about once a second, so a long poll would return at once each
+     * time; this feed is polled at intervals instead.
      */
     DIRECTORY(Duration.ZERO, Duration.ofMillis(700)),
-    /** The nodes that have registered themselves. A fleet that starts writes dozens of records at once: the pause collects them. */
+    /**
+     * Written by the nodes, which register themselves. When a fleet starts it writes dozens of records at once; the
+     * pause between reads batches them.
+     */
     MEMBERSHIP(Duration.ofSeconds(2), Duration.ofMillis(500)),
-    /** How far rollouts are; read only while there is one. */
+    /** The progress of rollouts; read only while there is one. */
     ROLLOUTS(Duration.ofSeconds(2), Duration.ZERO);
 
-    /** Beyond the time between two reads: an answer that is slow, and the message that passes it on. */
+    /** Added to the time between two reads, for a slow response and the message that relays it. */
     private static final Duration RELAY_ALLOWANCE = Duration.ofMillis(600);
 
     private final Duration wait;
@@ -27,17 +30,17 @@
         this.pause = pause;
     }
 
-    /** How long a read waits at the end of the feed for a new record. */
+    /** How long a read waits for a new record at the end of the feed. */
     public Duration longestWait() {
         return wait;
     }
 
-    /** How long to wait between an answer and the next read. */
+    /** The pause between a response and the next read. */
     public Duration pause() {
         return pause;
     }
 
-    /** A node that follows others' reads reads for itself when it has not been told of one for this long. */
+    /** A follower reads the feed itself if no reader has relayed a read to it for this long. */
     public Duration relayTimeout() {
         return wait.plus(pause).plus(RELAY_ALLOWANCE);
     }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/feed/FeedReader.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/feed/FeedReader.java
@@ -7,38 +7,42 @@
 import java.util.Optional;
 
 /**
- * Decides when one feed is read: the newest record of each key first, then what follows. One read is under way at a time.
+ * Schedules the reads of one feed: first a listing of the latest record of each key, then the records that follow. At
+ * most one read is in flight.
  */
 public final class FeedReader {
     private static final Duration RETRY_INTERVAL = Duration.ofMillis(200);
 
-    /** In a large fleet most nodes follow a few readers: when the store is down they must not all retry like those. */
+    /**
+     * The longer retry interval of followers. In a large fleet most nodes follow a few readers; while the store is down
+     * they must not all retry as often as the readers.
+     */
     private static final Duration FOLLOWER_RETRY_INTERVAL = Duration.ofSeconds(1);
 
     private final FeedName name;
     private final Feed feed;
     private final List<FeedRecord> listed = new ArrayList<>();
     private boolean listing = true;
-    private Optional<String> listedThrough = Optional.empty();
-    private long listedFrom = -1;
-    private boolean underWay;
+    private Optional<String> lastListedKey = Optional.empty();
+    private long listingPosition = -1;
+    private boolean inFlight;
     private boolean follower;
     private boolean failing;
     private Instant due = Instant.EPOCH;
     private Optional<Instant> lastAnswer = Optional.empty();
-    private Optional<Instant> outage = Optional.empty();
+    private Optional<Instant> lastFailure = Optional.empty();
 
-    /** What to read next. */
+    /** A read to perform. */
     public sealed interface Read {
         /**
-         * A page of the newest record of each key.
+         * Reads a page of the listing of the latest record of each key.
          *
-         * @param after the last key of the page before; empty for the first page
+         * @param after the last key of the previous page; empty for the first page
          */
         record Newest(Optional<String> after) implements Read {}
 
         /**
-         * The records from an offset.
+         * Reads the records from an offset.
          *
          * @param from the first offset
          * @param longestWait how long to wait for a record
@@ -46,105 +50,108 @@
         record From(long from, Duration longestWait) implements Read {}
     }
 
-    /** Reads nothing yet. */
+    /** Creates a reader that starts with a listing. */
     public FeedReader(FeedName name, Feed feed) {
         this.name = name;
         this.feed = feed;
     }
 
     /**
-     * The read to make now; empty while one is under way or none is due.
+     * Returns the read to perform now; empty while one is in flight or none is due.
      *
-     * @param follower whether other nodes pass on what they read: then only a missing listing or silence needs a read
+     * @param follower whether other nodes relay their reads to this node; it then reads only if it has no listing yet
+     *     or is no longer relayed to
      */
     public Optional<Read> next(boolean follower, Instant now) {
         this.follower = follower;
-        if (underWay || now.isBefore(due) || (follower && !listing && !cutOff(now, name.relayTimeout()))) {
+        if (inFlight || now.isBefore(due) || (follower && !listing && !cutOff(now, name.relayTimeout()))) {
             return Optional.empty();
         }
-        underWay = true;
+        inFlight = true;
         if (listing) {
-            return Optional.of(new Read.Newest(listedThrough));
+            return Optional.of(new Read.Newest(lastListedKey));
         }
         return Optional.of(new Read.From(feed.next(), name.longestWait()));
     }
 
-    /** A page of newest records came; the records that changed something. */
+    /** A page of the listing was received; returns the records that were applied. */
     public List<FeedRecord> onListed(List<FeedRecord> records, boolean more, long end, Instant now) {
         answered(now);
         listed.addAll(records);
-        // What is written while the pages are read may be in none of them: go on from where the first page ended.
-        listedFrom = listedFrom < 0 ? end : listedFrom;
+        // Records written while the pages are read may be in none of them, so reading continues from the position of
+        // the first page.
+        listingPosition = listingPosition < 0 ? end : listingPosition;
         if (more && !records.isEmpty()) {
-            listedThrough = Optional.of(records.getLast().key());
+            lastListedKey = Optional.of(records.getLast().key());
             due = now;
             return List.of();
         }
-        List<FeedRecord> changed = feed.apply(new FeedBatch(listedFrom, true, listed));
-        relist(false);
+        List<FeedRecord> changed = feed.apply(new FeedBatch(listingPosition, true, listed));
+        resetListing(false);
         due = now;
         return changed;
     }
 
-    /** Records came; those that changed something. */
+    /** Records were received; returns those that were applied. */
     public List<FeedRecord> onRecords(FeedBatch batch, Instant now) {
         answered(now);
         due = now.plus(name.pause());
         return feed.apply(batch);
     }
 
-    /** The records from our position are no longer kept: the newest of each key are read again. */
+    /** The records from the current position are no longer retained, so the feed is listed again. */
     public void onForgotten(Instant now) {
         answered(now);
-        relist(true);
+        resetListing(true);
         due = now;
     }
 
-    /** No answer, or a refusal. */
+    /** A read was refused or not answered. */
     public void onFailed(Instant now) {
-        underWay = false;
+        inFlight = false;
         failing = true;
         due = now.plus(follower ? FOLLOWER_RETRY_INTERVAL : RETRY_INTERVAL);
-        outage = Optional.of(now);
+        lastFailure = Optional.of(now);
         if (listing) {
-            relist(true);
+            resetListing(true);
         }
     }
 
-    /** Another node has passed on what it read just now. */
+    /** Another node has relayed the result of a read. */
     public void onRelayed(Instant now) {
         lastAnswer = Optional.of(now);
         failing &= !follower;
     }
 
     private void answered(Instant now) {
-        underWay = false;
+        inFlight = false;
         failing = false;
         lastAnswer = Optional.of(now);
     }
 
-    private void relist(boolean again) {
-        listing = again;
+    private void resetListing(boolean required) {
+        listing = required;
         listed.clear();
-        listedThrough = Optional.empty();
-        listedFrom = -1;
+        lastListedKey = Optional.empty();
+        listingPosition = -1;
     }
 
     /**
-     * Whether this node learns nothing from the store: its newest read failed, or none was answered for a time. A store that
-     * turns one node away says so at once; waiting for silence as well would leave a revoked key in force for seconds.
+     * Whether this node receives nothing from the store: its latest read failed, or none was answered within a timeout.
+     * A store that refuses a node does so immediately; waiting for the timeout as well would keep a revoked key valid
+     * for seconds.
      */
-    public boolean cutOff(Instant now, Duration time) {
-        return failing || lastAnswer.isEmpty() || now.isAfter(lastAnswer.get().plus(time));
+    public boolean cutOff(Instant now, Duration timeout) {
+        return failing || lastAnswer.isEmpty() || now.isAfter(lastAnswer.get().plus(timeout));
     }
 
-    /** Whether the newest own read failed. */
+    /** Whether this node's latest read failed. */
     public boolean failing() {
         return failing;
     }
 
-    /** Whether a read failed within a time before now. */
+    /** Whether a read has failed within the given time before now. */
     public boolean failedWithin(Instant now, Duration time) {
-        return outage.isPresent() && now.isBefore(outage.get().plus(time));
+        return lastFailure.isPresent() && now.isBefore(lastFailure.get().plus(time));
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/feed/FeedRecord.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/feed/FeedRecord.java
@@ -3,10 +3,10 @@
 import java.util.Optional;
 
 /**
- * One record of a feed, as it was written.
+ * A raw record of a feed.
  *
- * @param key what it is about
- * @param offset its place in the feed; a later record has a greater one
- * @param value its content; empty if it removes the key
+ * @param key the key
+ * @param offset its position in the feed; later records have higher offsets
+ * @param value the encoded value; empty if the record removes the key
  */
 public record FeedRecord(String key, long offset, Optional<byte[]> value) {}
--- a/wagtaillug-core/src/main/java/org/wagtaillug/feed/RecordDecoder.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/feed/RecordDecoder.java
@@ -3,20 +3,20 @@
 import org.wagtaillug.id.PoolId;
 import org.wagtaillug.rollout.RolloutStatus;
 
-/** Reads the records of feeds, and writes those of rollouts. Implemented by the translation of a platform; never throws. */
+/** Decodes feed records and encodes rollout records. Implemented per platform; implementations must not throw. */
 public interface RecordDecoder {
-    /** What a record of the configuration feed says. */
+    /** Decodes a record of the configuration feed. */
     ConfigurationItem configuration(FeedRecord record);
 
-    /** What a record of the directory feed says. */
+    /** Decodes a record of the directory feed. */
     DirectoryItem directory(FeedRecord record);
 
-    /** What a record of the rollouts feed says. */
+    /** Decodes a record of the rollouts feed. */
     RolloutItem rollout(FeedRecord record);
 
-    /** The key of the record that tells the status of a pool's rollout. */
+    /** The key of the record with the status of a pool's rollout. */
     String rolloutKey(PoolId pool);
 
-    /** The content of the record that tells a status. */
+    /** Encodes a rollout status as the value of its record. */
     byte[] encode(RolloutStatus status);
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/feed/RolloutItem.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/feed/RolloutItem.java
@@ -3,27 +3,27 @@
 import org.wagtaillug.id.PoolId;
 import org.wagtaillug.rollout.RolloutStatus;
 
-/** What a record of the rollouts feed says. */
+/** The decoded content of a record of the rollouts feed. */
 public sealed interface RolloutItem {
     /**
-     * How far a rollout is.
+     * The status of a rollout was written.
      *
-     * @param pool whose
-     * @param status how far
+     * @param pool the pool of the rollout
+     * @param status its status
      */
     record Reported(PoolId pool, RolloutStatus status) implements RolloutItem {}
 
     /**
-     * Nothing is known of a pool's rollout any more.
+     * The status of a pool's rollout was removed.
      *
-     * @param pool which
+     * @param pool the pool of the rollout
      */
     record Removed(PoolId pool) implements RolloutItem {}
 
     /**
-     * Nothing that this version of the program acts on.
+     * A record that this version of the program does not handle.
      *
-     * @param reason for the log
+     * @param reason the reason, for the log
      */
     record Ignored(String reason) implements RolloutItem {}
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/feed/package-info.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/feed/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Feeds: what operators and upstreams write on the platform's store, of which the newest record of each key holds. A node
- * reads them itself, and learns from its peers what the store does not tell it.
+ * Feeds: the records that operators, upstreams and nodes write to the platform's store. The latest record of each key
+ * is valid. A node reads the feeds itself, and gets from its peers what it cannot read from the store.
  */
 package org.wagtaillug.feed;
--- a/wagtaillug-core/src/test/java/org/wagtaillug/feed/FeedTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/feed/FeedTest.java
@@ -16,9 +16,9 @@
     }
 
     @Test
-    void anOldRecordNeverReplacesANewerOne() {
-        // A store that is behind answers with records that were true some seconds ago. A dropped route would be back
-        // for as long as it is behind, on this node only.
+    void aStaleRecordNeverReplacesANewerOne() {
+        // Guards against stale reads: a store that lags behind returns records from some seconds ago. A removed
+        // route would be restored on this node for as long as the store lags.
         Feed feed = new Feed();
         feed.apply(new FeedBatch(8, true, List.of(record("a", 7))));
         assertThat(feed.apply(new FeedBatch(4, false, List.of(record("a", 3))))).isEmpty();
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void aKeyThatAWholeListingDoesNotNameIsRemoved() {
+    void aKeyMissingFromACompleteListingIsRemoved() {
         Feed feed = new Feed();
         feed.apply(new FeedBatch(2, true, List.of(record("a", 0), record("b", 1))));
         List<FeedRecord> changed = feed.apply(new FeedBatch(5, true, List.of(record("b", 4))));
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void aPeerThatIsBehindGetsOnlyWhatItLacks() {
+    void aPeerThatIsBehindGetsOnlyTheRecordsItIsMissing() {
         Feed feed = new Feed();
         feed.apply(new FeedBatch(9, true, List.of(record("a", 2), record("b", 8))));
         assertThat(feed.after(5).records()).extracting(FeedRecord::key).containsExactly("b");
@@ -49,9 +49,9 @@
     }
 
     @Test
-    void aListingOfSeveralPagesGoesOnFromTheEndOfItsFirstPage() {
-        // A record that is written while the pages are read may be in none of them; reading on from the last page's end
-        // would leave it out for good.
+    void afterAListingOfSeveralPagesReadingContinuesFromThePositionOfTheFirstPage() {
+        // Guards against lost records: a record written while the pages are read may be in none of them, and would be
+        // skipped for good if reading continued from the end of the last page.
         Feed feed = new Feed();
         FeedReader reader = new FeedReader(FeedName.DIRECTORY, feed);
         assertThat(reader.next(false, NOW)).contains(new FeedReader.Read.Newest(Optional.empty()));
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void recordsThatAreNoLongerKeptAreListedAgain() {
+    void theFeedIsListedAgainWhenRecordsAreNoLongerRetained() {
         Feed feed = new Feed();
         FeedReader reader = new FeedReader(FeedName.CONFIGURATION, feed);
         reader.next(false, NOW);
