--- a/wagtaillug-core/src/main/java/org/wagtaillug/peer/Duty.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/peer/Duty.java
@@ -4,19 +4,19 @@
 import org.wagtaillug.id.VmId;
 
 /**
- * Work that one or a few nodes do for others.
+ * A task that one or a few nodes perform for the other nodes, such as scheduling the calls of a pool.
  *
- * @param ranking the candidates, the first one first
- * @param holders how many nodes hold it at the same time
- * @param needsStore whether a node that cannot read the store does not hold it
+ * @param ranking the candidates, in order of preference
+ * @param holders the number of nodes that hold the duty at the same time
+ * @param needsStore whether only nodes that can read the store may hold the duty
  */
 public record Duty(List<VmId> ranking, int holders, boolean needsStore) {
-    /** Copies the list. */
+    /** Makes a defensive copy of the list. */
     public Duty {
         ranking = List.copyOf(ranking);
     }
 
-    /** A duty of one node that does not need the store. */
+    /** Creates a duty with one holder that does not need the store. */
     public static Duty of(List<VmId> ranking) {
         return new Duty(ranking, 1, false);
     }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/peer/Member.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/peer/Member.java
@@ -4,14 +4,14 @@
 import org.wagtaillug.id.VmId;
 
 /**
- * A node that has registered itself.
+ * A registered node.
  *
- * @param id its VM, which is also its address
+ * @param id the id of its VM, which is also its address
  * @param domain its failure domain
- * @param capacity its processor, in cores of the slowest kind; 1 if the settings do not say
+ * @param capacity its processor capacity, in cores of the slowest kind; 1 if not configured
  */
 public record Member(VmId id, DomainId domain, double capacity) {
-    /** Checks the capacity. */
+    /** Validates the capacity. */
     public Member {
         if (!(capacity > 0) || Double.isInfinite(capacity)) {
             throw new IllegalArgumentException("capacity is " + capacity + "; expected a number above 0");
--- a/wagtaillug-core/src/main/java/org/wagtaillug/peer/MemberRecord.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/peer/MemberRecord.java
@@ -5,7 +5,10 @@
 import org.wagtaillug.id.DomainId;
 import org.wagtaillug.id.VmId;
 
-/** The value of a member's record in the membership feed: version, failure domain and capacity, separated by tabs. */
+/**
+ * Encodes and decodes the value of a member's record in the membership feed: format version, failure domain and
+ * capacity, separated by tabs.
+ */
 public final class MemberRecord {
     private static final String VERSION = "1";
     private static final String SEPARATOR = "\t";
@@ -13,13 +16,16 @@
 
     private MemberRecord() {}
 
-    /** The value of a record. */
+    /** Encodes a member as the value of its record. */
     public static byte[] encode(Member member) {
         String text = String.join(SEPARATOR, VERSION, member.domain().value(), Double.toString(member.capacity()));
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Reads a record; on the left what is wrong with it. Fields that a newer version appends are ignored. */
+    /**
+     * Decodes a record; the left value describes the error. Additional fields, as appended by newer versions, are
+     * ignored.
+     */
     public static Either<String, Member> decode(String key, byte[] value) {
         String[] fields = new String(value, StandardCharsets.UTF_8).split(SEPARATOR, -1);
         if (fields.length < FIELDS || !fields[0].equals(VERSION)) {
--- a/wagtaillug-core/src/main/java/org/wagtaillug/peer/Peers.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/peer/Peers.java
@@ -18,43 +18,45 @@
 import org.wagtaillug.message.ServingMessage.Heartbeat;
 
 /**
- * The other nodes that this one depends on, as their heartbeats show them.
+ * Failure detector for the nodes that this node depends on, based on heartbeats.
  *
- * <p>A node watches only the candidates for the duties that it needs: for each duty those from the first in the ranking to
- * the first that is up. So the messages of a node do not grow with the fleet. Whether a peer is up is a guess from silence
- * and two nodes may guess differently; it decides only who does work that may be done twice at a small cost, such as
- * scheduling the calls of a pool.
+ * <p>A node watches only the candidates for the duties that it depends on: for each duty, from the first candidate in
+ * the ranking to the first that is up. The number of messages per node therefore does not grow with the fleet. Failure
+ * detection is based on missing heartbeats, and two nodes may come to different results. It is used only to decide who
+ * performs work that may be done twice at a small cost, such as scheduling the calls of a pool.
  */
 public final class Peers {
     private static final Duration SHORT_INTERVAL = Duration.ofMillis(400);
     private static final Duration LONG_INTERVAL = Duration.ofMillis(1200);
 
-    /** The holder of a duty hears all nodes: in a larger fleet each of them says less. */
+    /**
+     * The holder of a duty receives heartbeats from all nodes, so in a larger fleet each node sends them less often.
+     */
     private static final int SMALL_FLEET = 24;
 
-    /** A peer counts as down after this many intervals without a heartbeat. */
+    /** A peer is considered down after this many intervals without a heartbeat. */
     private static final int MISSED_HEARTBEATS = 3;
 
-    /** The same in a larger fleet, with its longer intervals. */
+    /** The same for larger fleets, which have longer intervals. */
     private static final int MISSED_LONG_HEARTBEATS = 2;
 
-    /** A peer whose connection is lost has this long to be heard over a new one. */
+    /** A peer whose connection was lost is considered down if no heartbeat arrives over a new one within this time. */
     private static final Duration RECONNECT_GRACE = Duration.ofMillis(200);
 
-    /** A candidate that is not heard within this time of being watched counts as down. */
+    /** A candidate is considered down if no heartbeat arrives within this time after it was first watched. */
     private static final Duration FIRST_CONTACT_TIMEOUT = Duration.ofMillis(600);
 
-    /** A candidate that was found down and is no longer watched may be tried anew after this time. */
-    private static final Duration FORGET_FAILURE_AFTER = Duration.ofSeconds(10);
+    /** A candidate that was found down and is no longer watched may be tried again after this time. */
+    private static final Duration FAILURE_MEMORY = Duration.ofSeconds(10);
 
-    /** Candidates for one duty that are tried at the same time. */
+    /** The maximum number of untried candidates for one duty that are contacted at the same time. */
     private static final int MAX_UNTRIED = 2;
 
-    /** Candidates for one duty that are down and watched for their return. */
+    /** The maximum number of candidates for one duty that are down and still watched, to detect their return. */
     private static final int MAX_DOWN_WATCHED = 8;
 
-    /** Connections to peers that are not watched any more are kept for this long: a reply may be on its way. */
-    private static final Duration LINGER = Duration.ofSeconds(10);
+    /** Connections to peers that are no longer watched are kept for this time, as a reply may be in transit. */
+    private static final Duration CONNECTION_LINGER = Duration.ofSeconds(10);
 
     private final VmId self;
     private final List<VmId> seeds;
@@ -65,10 +67,10 @@
     private boolean settled;
 
     private static final class Peer {
-        private Instant heardAt = Instant.EPOCH;
+        private Instant lastHeartbeatAt = Instant.EPOCH;
         private Instant downAt = Instant.EPOCH;
         private Instant watchedSince = Instant.EPOCH;
-        private Instant heartbeatAt = Instant.EPOCH;
+        private Instant heartbeatSentAt = Instant.EPOCH;
         private Instant followsUntil = Instant.EPOCH;
         private long incarnation;
         private boolean serving;
@@ -78,9 +80,9 @@
     }
 
     /**
-     * Watches nobody but the seeds until it is told which duties count.
+     * Creates an instance that watches only the seeds until duties are set.
      *
-     * @param seeds nodes that are likely to be up, for a node that cannot read the roster itself
+     * @param seeds nodes to contact initially if this node cannot read the roster itself
      */
     public Peers(VmId self, List<VmId> seeds, Roster roster) {
         this.self = self;
@@ -88,7 +90,7 @@
         this.roster = roster;
     }
 
-    /** The time between two heartbeats to a peer. */
+    /** The interval between heartbeats to a peer. */
     public Duration interval() {
         return roster.size() <= SMALL_FLEET ? SHORT_INTERVAL : LONG_INTERVAL;
     }
@@ -98,21 +100,21 @@
         return interval().multipliedBy(small ? MISSED_HEARTBEATS : MISSED_LONG_HEARTBEATS);
     }
 
-    /** Sets the duties that this node depends on, by their names. */
-    public void depend(Map<String, Duty> newest) {
-        duties = Map.copyOf(newest);
+    /** Sets the duties that this node depends on, by name. */
+    public void depend(Map<String, Duty> newDuties) {
+        duties = Map.copyOf(newDuties);
     }
 
     /**
-     * A peer sends a heartbeat.
+     * A heartbeat of a peer was received.
      *
-     * @return whether it is a new run of its VM
+     * @return whether the peer has restarted since its last heartbeat
      */
     public boolean onHeartbeat(NodeId sender, Heartbeat heartbeat, Instant now) {
         Peer peer = peer(sender.vm());
         boolean restarted = peer.incarnation != 0 && peer.incarnation != sender.incarnation();
         peer.incarnation = sender.incarnation();
-        peer.heardAt = now;
+        peer.lastHeartbeatAt = now;
         peer.downAt = Instant.EPOCH;
         peer.serving = heartbeat.serving();
         peer.storeLost = heartbeat.storeLost();
@@ -122,17 +124,17 @@
         return restarted;
     }
 
-    /** A connection to a peer stands, and a heartbeat is sent to it at once. */
+    /** A connection to a peer was established, over which a heartbeat is sent immediately. */
     public void onConnected(VmId id, Instant now) {
-        peer(id).heartbeatAt = now;
+        peer(id).heartbeatSentAt = now;
     }
 
-    /** The connection to a peer has ended or cannot be made. */
+    /** The connection to a peer was lost or could not be established. */
     public void onDisconnected(VmId id, Instant now) {
         Peer peer = peer(id);
         Instant latest = now.minus(failureTimeout()).plus(RECONNECT_GRACE);
-        if (peer.heardAt.isAfter(latest)) {
-            peer.heardAt = latest;
+        if (peer.lastHeartbeatAt.isAfter(latest)) {
+            peer.lastHeartbeatAt = latest;
         }
         if (!up(peer, now)) {
             peer.downAt = now;
@@ -144,10 +146,10 @@
     }
 
     private boolean up(Peer peer, Instant now) {
-        return !now.isAfter(peer.heardAt.plus(failureTimeout()));
+        return !now.isAfter(peer.lastHeartbeatAt.plus(failureTimeout()));
     }
 
-    /** Whether a peer is heard. */
+    /** Whether a peer is up, according to its heartbeats. */
     public boolean up(VmId id, Instant now) {
         Peer peer = peers.get(id);
         return peer != null && up(peer, now);
@@ -161,28 +163,29 @@
         return peer != null && peer.serving && up(peer, now) && !(duty.needsStore() && peer.storeLost);
     }
 
-    /** A candidate that was not heard although there was time for it. */
-    private boolean triedInVain(VmId id, Instant now) {
+    /** Whether a candidate is down: it failed recently, or sent no heartbeat within the first-contact timeout. */
+    private boolean foundDown(VmId id, Instant now) {
         Peer peer = peers.get(id);
         if (peer == null || up(peer, now)) {
             return false;
         }
-        boolean failed = now.isBefore(peer.downAt.plus(FORGET_FAILURE_AFTER));
+        boolean failed = now.isBefore(peer.downAt.plus(FAILURE_MEMORY));
         boolean silent = watched.containsKey(id) && !now.isBefore(peer.watchedSince.plus(FIRST_CONTACT_TIMEOUT));
         return failed || silent;
     }
 
     /**
-     * The node that holds a duty: of the candidates that are up and take work, and this one, the first in the ranking.
+     * The node that holds a duty: the first candidate in the ranking that is up and accepts work; this node if there is
+     * none.
      *
-     * @param serving whether this node takes work
+     * @param serving whether this node accepts work
      */
     public VmId holder(String duty, boolean serving, Instant now) {
         List<VmId> holders = holders(duty, 1, serving, now);
         return holders.isEmpty() ? self : holders.getFirst();
     }
 
-    /** The first candidates for a duty that are up and take work; fewer if there are not so many. */
+    /** The first {@code count} candidates for a duty that are up and accept work; fewer if there are not as many. */
     public List<VmId> holders(String duty, int count, boolean serving, Instant now) {
         List<VmId> found = new ArrayList<>();
         Duty one = duties.getOrDefault(duty, Duty.of(List.of()));
@@ -198,20 +201,20 @@
     }
 
     /**
-     * Renews the set of watched peers.
+     * Updates the set of watched peers.
      *
-     * @param knownMembers whether the roster was read; before that only the seeds can be asked
-     * @param partners peers that this node has business with
-     * @param serving whether this node takes work
-     * @return the peers to keep a connection with
+     * @param knownMembers whether the roster has been read; until then only the seeds are known
+     * @param partners peers that this node must stay connected to for other reasons
+     * @param serving whether this node accepts work
+     * @return the peers to stay connected to
      */
     public Set<VmId> watch(boolean knownMembers, Set<VmId> partners, boolean serving, Instant now) {
         Set<VmId> wanted = new LinkedHashSet<>(partners);
-        boolean allFound = knownMembers;
+        boolean allHoldersKnown = knownMembers;
         for (Duty duty : duties.values()) {
-            allFound &= addCandidates(duty, wanted, serving, now);
+            allHoldersKnown &= addCandidates(duty, wanted, serving, now);
         }
-        settled |= allFound;
+        settled |= allHoldersKnown;
         if (!knownMembers) {
             wanted.addAll(seeds);
         }
@@ -222,31 +225,31 @@
                 peer.watchedSince = now;
             }
         }
-        watched.values().removeIf(last -> now.isAfter(last.plus(LINGER)));
-        Instant oldest = now.minus(LINGER);
+        watched.values().removeIf(last -> now.isAfter(last.plus(CONNECTION_LINGER)));
+        Instant oldest = now.minus(CONNECTION_LINGER);
         peers.entrySet()
                 .removeIf(entry -> !watched.containsKey(entry.getKey())
-                        && entry.getValue().heardAt.isBefore(oldest)
+                        && entry.getValue().lastHeartbeatAt.isBefore(oldest)
                         && entry.getValue().downAt.isBefore(oldest));
         return new TreeSet<>(watched.keySet());
     }
 
-    /** Adds the candidates for a duty that have to be watched; whether it is known who holds it. */
+    /** Adds the candidates for a duty that have to be watched; returns whether the holder of the duty is known. */
     private boolean addCandidates(Duty duty, Set<VmId> wanted, boolean serving, Instant now) {
-        int held = 0;
+        int holding = 0;
         int down = 0;
         int untried = 0;
         for (VmId id : duty.ranking()) {
-            if (held == duty.holders() || untried == MAX_UNTRIED) {
+            if (holding == duty.holders() || untried == MAX_UNTRIED) {
                 break;
             }
             if (holds(duty, id, serving, now)) {
-                held++;
+                holding++;
                 wanted.add(id);
             } else if (id.equals(self) || up(id, now)) {
-                // It is up and does not hold the duty now; it says so when that changes.
+                // It is up but does not hold the duty now; its heartbeats show when that changes.
                 wanted.add(id);
-            } else if (!triedInVain(id, now)) {
+            } else if (!foundDown(id, now)) {
                 untried++;
                 wanted.add(id);
             } else if (down < MAX_DOWN_WATCHED) {
@@ -257,30 +260,30 @@
         return untried == 0;
     }
 
-    /** Whether the holder of each duty was known at some time since the start. */
+    /** Whether the holders of all duties have been known at some time since the start. */
     public boolean settled() {
         return settled;
     }
 
-    /** The watched peers whose next heartbeat is due now. */
+    /** The watched peers to which a heartbeat is due now. */
     public List<VmId> heartbeatsDue(Instant now) {
         List<VmId> due = new ArrayList<>();
         for (VmId id : watched.keySet()) {
             Peer peer = peer(id);
-            if (!now.isBefore(peer.heartbeatAt.plus(interval()))) {
-                peer.heartbeatAt = now;
+            if (!now.isBefore(peer.heartbeatSentAt.plus(interval()))) {
+                peer.heartbeatSentAt = now;
                 due.add(id);
             }
         }
         return due;
     }
 
-    /** Whether this node sends heartbeats to a peer of its own accord. */
+    /** Whether this node watches a peer, and so sends it heartbeats that are not replies. */
     public boolean watches(VmId id) {
         return watched.containsKey(id);
     }
 
-    /** The peers that want to be told what this node reads of the feeds. */
+    /** The peers to which this node relays its reads of the feeds. */
     public List<VmId> followers(Instant now) {
         List<VmId> followers = new ArrayList<>();
         peers.forEach((id, peer) -> {
@@ -291,29 +294,32 @@
         return followers;
     }
 
-    /** The expected wait of an order of a priority at a pool whose calls a peer schedules, as its last heartbeat said. */
+    /**
+     * The expected queueing delay of an order of a given rank at a pool whose calls a peer schedules, according to its
+     * last heartbeat.
+     */
     public Duration waitOf(VmId id, PoolId pool, int rank) {
         Duration longest = Duration.ZERO;
         if (!peers.containsKey(id)) {
             return longest;
         }
         for (QueueDelayEstimate wait : peers.get(id).waits) {
-            boolean counts = wait.pool().equals(pool) && wait.rank() <= rank;
-            longest = counts && wait.expected().compareTo(longest) > 0 ? wait.expected() : longest;
+            boolean applies = wait.pool().equals(pool) && wait.rank() <= rank;
+            longest = applies && wait.expected().compareTo(longest) > 0 ? wait.expected() : longest;
         }
         return longest;
     }
 
-    /** A peer that has read further in a feed than a position; the one that was heard last. */
+    /** A peer whose position in a feed is beyond the given one; of several, the one with the latest heartbeat. */
     public Optional<VmId> ahead(FeedName feed, long position, Instant now) {
         Optional<VmId> found = Optional.empty();
         Instant latest = Instant.EPOCH;
         for (Map.Entry<VmId, Peer> entry : peers.entrySet()) {
             Peer peer = entry.getValue();
-            boolean further = peer.positions.getOrDefault(feed, 0L) > position;
-            if (further && up(peer, now) && peer.heardAt.isAfter(latest)) {
+            boolean isAhead = peer.positions.getOrDefault(feed, 0L) > position;
+            if (isAhead && up(peer, now) && peer.lastHeartbeatAt.isAfter(latest)) {
                 found = Optional.of(entry.getKey());
-                latest = peer.heardAt;
+                latest = peer.lastHeartbeatAt;
             }
         }
         return found;
--- a/wagtaillug-core/src/main/java/org/wagtaillug/peer/Registration.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/peer/Registration.java
@@ -10,10 +10,11 @@
 import org.wagtaillug.id.VmId;
 
 /**
- * This node's entry in the membership feed, and the expiry of entries that nobody renews.
+ * Maintains this node's entry in the membership feed and removes the expired entries of other nodes.
  *
- * <p>An entry is a lease: its node renews it, and it is removed when it has stood unchanged for several renewals by the
- * clock of the node that removes it. Clocks of different nodes are never compared.
+ * <p>An entry is a lease: its node renews it, and another node removes it if it was not renewed for several renewal
+ * intervals. That time is measured by the clock of the removing node alone; clocks of different nodes are never
+ * compared.
  */
 public final class Registration {
     private static final Duration RENEWAL_INTERVAL = Duration.ofMinutes(5);
@@ -27,12 +28,12 @@
     /** A write to the membership feed. */
     public record Write(VmId member, Optional<byte[]> value) {}
 
-    /** Nothing is written yet. */
+    /** Creates a registration whose first write is due immediately. */
     public Registration(Member self) {
         this.self = self;
     }
 
-    /** An entry was read. */
+    /** An entry was read from the feed. */
     public void onEntry(Member member, Instant now) {
         renewedAt.put(member.id(), now);
         if (member.id().equals(self.id())) {
@@ -40,7 +41,7 @@
         }
     }
 
-    /** An entry was removed. */
+    /** An entry was removed from the feed. */
     public void onRemoved(VmId member, Instant now) {
         renewedAt.remove(member);
         if (member.equals(self.id())) {
@@ -48,17 +49,17 @@
         }
     }
 
-    /** A write of this node's own entry is over; what it wrote is seen when it is read. */
-    public void onWritten(boolean done, Instant now) {
-        if (!done) {
+    /** A write of this node's own entry has completed; on success, its effect is observed when the entry is read. */
+    public void onWritten(boolean succeeded, Instant now) {
+        if (!succeeded) {
             due = now.plus(RETRY_INTERVAL);
         }
     }
 
     /**
-     * What to write now.
+     * Returns the writes that are due now.
      *
-     * @param expires whether this node removes the entries that have expired
+     * @param expires whether this node is responsible for removing expired entries
      */
     public List<Write> due(boolean expires, Instant now) {
         List<Write> writes = new ArrayList<>();
--- a/wagtaillug-core/src/main/java/org/wagtaillug/peer/Roster.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/peer/Roster.java
@@ -15,20 +15,26 @@
 import org.wagtaillug.membership.Rendezvous;
 
 /**
- * The nodes that are registered on the store, whether they are up or not.
+ * The nodes that are registered in the store, whether they are up or not.
  *
- * <p>All nodes read the same records, so what is derived from them needs no message between nodes and holds while the store
- * is down, while nodes cannot reach each other, and after all of them have restarted. Limits that hold for the whole fleet
- * are divided by the number of members. A node that is down keeps its share until its registration expires.
+ * <p>All nodes read the same records, so anything derived from them needs no coordination between nodes and stays valid
+ * while the store is down, during network partitions and after a restart of the whole fleet. Fleet-wide limits are
+ * divided by the number of members. A node that is down keeps its share until its registration expires.
  */
 public final class Roster {
-    /** Limits are divided by at least this many, so that nodes that are about to register find room. */
+    /**
+     * Fleet-wide limits are divided by at least this number, which reserves room for nodes that have not registered
+     * yet.
+     */
     private static final int MIN_SHARERS = 12;
 
-    /** A node of a mixed fleet that has less than this part of the largest capacity does no duty while another can. */
+    /**
+     * In a mixed fleet, a node with less than this fraction of the largest capacity takes a duty only if no larger node
+     * can.
+     */
     private static final double DUTY_CAPACITY_RATIO = 0.5;
 
-    /** Members that were there before a new one may still count without it for this long. */
+    /** The time until all members know of a new one; until then, some still derive their shares without it. */
     private static final Duration JOIN_PROPAGATION_DELAY = Duration.ofSeconds(3);
 
     private final VmId self;
@@ -38,15 +44,15 @@
     private final Map<VmId, Integer> ranks = new HashMap<>();
     private Optional<Instant> joinedAt = Optional.empty();
 
-    /** Knows no member yet. */
+    /** Creates an empty roster. */
     public Roster(VmId self) {
         this.self = self;
     }
 
     /**
-     * A member is registered.
+     * Adds or updates a member.
      *
-     * @param listed whether it was registered before this node read the feed for the first time
+     * @param listed whether it was already registered when this node first read the feed
      * @return whether anything changed
      */
     public boolean add(Member member, boolean listed, Instant now) {
@@ -56,11 +62,11 @@
         if (member.id().equals(self) && joinedAt.isEmpty()) {
             joinedAt = Optional.of(listed ? now : now.plus(JOIN_PROPAGATION_DELAY));
         }
-        forgetDerived();
+        invalidateDerived();
         return true;
     }
 
-    /** A member's registration has ended; whether there was one. */
+    /** Removes a member; returns whether it was registered. */
     public boolean remove(VmId id) {
         if (members.remove(id) == null) {
             return false;
@@ -68,36 +74,38 @@
         if (id.equals(self)) {
             joinedAt = Optional.empty();
         }
-        forgetDerived();
+        invalidateDerived();
         return true;
     }
 
-    private void forgetDerived() {
+    private void invalidateDerived() {
         rankings.clear();
         ranks.clear();
     }
 
-    /** One member; empty if it is not registered. */
+    /** Finds a member; empty if it is not registered. */
     public Optional<Member> find(VmId id) {
         return Optional.ofNullable(members.get(id));
     }
 
-    /** How many nodes are registered. */
+    /** The number of registered nodes. */
     public int size() {
         return members.size();
     }
 
-    /** How many nodes share a limit of the whole fleet: all members, and room for a few that have not registered yet. */
+    /**
+     * The number of nodes among which a fleet-wide limit is divided: all members, or a fixed minimum in a small fleet.
+     */
     public int sharers() {
         return Math.max(MIN_SHARERS, members.size());
     }
 
     /**
-     * Whether this node is one of the few that may send to an upstream while it is cold.
+     * Whether this node is one of the few that may send requests to an upstream while it is cold.
      *
-     * <p>Guards against a cold upstream that is crashed by many nodes which each send it only a little.
+     * <p>Guards against overloading a cold upstream by many nodes that each send it only a few requests.
      *
-     * @param senders how many nodes may
+     * @param senders the number of nodes that may
      */
     public boolean maySendToCold(VmId upstream, int senders, Instant now) {
         if (joinedAt.isEmpty() || now.isBefore(joinedAt.get())) {
@@ -106,7 +114,7 @@
         return members.size() <= senders || ranks.computeIfAbsent(upstream, this::rankFor) < senders;
     }
 
-    /** How many members come before this one for an upstream. */
+    /** The rank of this node for an upstream: the number of members before it. */
     private int rankFor(VmId upstream) {
         long own = rendezvous.score(upstream.value(), self.value());
         int before = 0;
@@ -118,12 +126,15 @@
         return before;
     }
 
-    /** The members in the order in which they take a duty: those with much capacity first, then by rendezvous hashing. */
+    /**
+     * The members in the order in which they take a duty: those of sufficient capacity first, each group ordered by
+     * rendezvous hashing.
+     */
     public List<VmId> ranking(String duty) {
         return rankings.computeIfAbsent(duty, any -> rank(duty, members.values()));
     }
 
-    /** The same among the members of a failure domain. */
+    /** The members of a failure domain in the order in which they take a duty. */
     public List<VmId> ranking(String duty, DomainId domain) {
         return rankings.computeIfAbsent(duty + " in " + domain, any -> {
             List<Member> inDomain = new ArrayList<>();
@@ -141,9 +152,9 @@
         for (Member member : candidates) {
             largest = Math.max(largest, member.capacity());
         }
-        double enough = largest * DUTY_CAPACITY_RATIO;
+        double sufficient = largest * DUTY_CAPACITY_RATIO;
         List<Member> ranked = new ArrayList<>(candidates);
-        ranked.sort(Comparator.comparing((Member member) -> member.capacity() < enough)
+        ranked.sort(Comparator.comparing((Member member) -> member.capacity() < sufficient)
                 .thenComparing(Comparator.comparingLong((Member member) ->
                                 rendezvous.score(duty, member.id().value()))
                         .reversed())
--- a/wagtaillug-core/src/main/java/org/wagtaillug/peer/package-info.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/peer/package-info.java
@@ -1,2 +1,2 @@
-/** Which other nodes are there, by what they say to one another. Nothing that must be safe depends on it. */
+/** Membership and failure detection among nodes. No safety property depends on it. */
 package org.wagtaillug.peer;
--- a/wagtaillug-core/src/test/java/org/wagtaillug/peer/PeersTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/peer/PeersTest.java
@@ -23,11 +23,11 @@
     private static final List<String> DUTIES = List.of("encode", "rank", "fetch");
 
     private final Map<VmId, Peers> nodes = new HashMap<>();
-    private final Set<VmId> dead = new HashSet<>();
+    private final Set<VmId> stopped = new HashSet<>();
     private final List<VmId> ids = new ArrayList<>();
     private Instant now = START;
 
-    /** All nodes start at once; each has read the roster, which the last run has left on the store. */
+    /** Starts all nodes at once; each has read the roster, which the previous run left in the store. */
     private void start(int count) {
         for (int number = 0; number < count; number++) {
             ids.add(new VmId("node-" + number));
@@ -45,12 +45,12 @@
         nodes.put(id, peers);
     }
 
-    /** One tick; heartbeats arrive before the next one. Connections to dead nodes fail at once. */
+    /** Runs one tick; heartbeats arrive before the next one. Connections to stopped nodes fail immediately. */
     private int tick() {
         int sent = 0;
         List<Runnable> arrivals = new ArrayList<>();
         for (VmId id : ids) {
-            if (dead.contains(id)) {
+            if (stopped.contains(id)) {
                 continue;
             }
             Peers peers = nodes.get(id);
@@ -66,7 +66,7 @@
     }
 
     private void deliver(VmId sender, VmId receiver, boolean reply) {
-        if (dead.contains(receiver)) {
+        if (stopped.contains(receiver)) {
             nodes.get(sender).onDisconnected(receiver, now);
             return;
         }
@@ -87,14 +87,14 @@
     private Set<VmId> holders(String duty) {
         Set<VmId> holders = new HashSet<>();
         for (VmId id : ids) {
-            if (!dead.contains(id)) {
+            if (!stopped.contains(id)) {
                 holders.add(nodes.get(id).holder(duty, true, now));
             }
         }
         return holders;
     }
 
-    /** Guards against several schedulers for one pool after all nodes have restarted. */
+    /** Guards against several schedulers for one pool after a restart of all nodes. */
     @Test
     void nodesThatStartAtOnceAgreeOnADutyWithinAQuarterOfASecond() {
         start(95);
@@ -102,7 +102,7 @@
         DUTIES.forEach(duty -> assertThat(holders(duty)).hasSize(1));
     }
 
-    /** Guards against heartbeats of all to all, whose number grows as the square of the fleet. */
+    /** Guards against all-to-all heartbeats, whose number grows quadratically with the size of the fleet. */
     @Test
     void theHeartbeatsOfANodeDoNotGrowWithTheFleet() {
         start(95);
@@ -121,35 +121,35 @@
         start(95);
         run(Duration.ofSeconds(3));
         VmId killed = holders("encode").iterator().next();
-        dead.add(killed);
+        stopped.add(killed);
         ids.forEach(id -> nodes.get(id).onDisconnected(killed, now));
         run(Duration.ofSeconds(1));
         assertThat(holders("encode")).hasSize(1).doesNotContain(killed);
     }
 
-    /** Guards against nodes that go on with a deputy after the first candidate has come back. */
+    /** Guards against nodes that keep using a substitute after the first candidate has returned. */
     @Test
-    void aDutyGoesBackToItsFirstCandidate() {
+    void aDutyReturnsToItsFirstCandidate() {
         start(40);
         run(Duration.ofSeconds(3));
         VmId first = holders("rank").iterator().next();
-        dead.add(first);
+        stopped.add(first);
         ids.forEach(id -> nodes.get(id).onDisconnected(first, now));
         run(Duration.ofSeconds(2));
-        dead.remove(first);
+        stopped.remove(first);
         start(first);
         run(Duration.ofSeconds(2));
         assertThat(holders("rank")).containsExactly(first);
     }
 
-    /** Guards against a node that finds no scheduler because all candidates that it watches are gone for good. */
+    /** Guards against a node that finds no scheduler because all candidates that it watches are permanently down. */
     @Test
-    void aDutyIsHeldWhenHalfOfTheFleetIsLost() {
+    void aDutyIsHeldWhenHalfOfTheFleetIsDown() {
         start(60);
         run(Duration.ofSeconds(2));
         for (int number = 0; number < 60; number += 2) {
             VmId lost = ids.get(number);
-            dead.add(lost);
+            stopped.add(lost);
             ids.forEach(id -> nodes.get(id).onDisconnected(lost, now));
         }
         run(Duration.ofSeconds(5));
--- a/wagtaillug-core/src/test/java/org/wagtaillug/peer/RosterTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/peer/RosterTest.java
@@ -27,7 +27,7 @@
         return roster;
     }
 
-    /** Guards against a cold upstream that gets a little from each of two hundred nodes. */
+    /** Guards against overloading a cold upstream by two hundred nodes that each send it a few requests. */
     @Test
     void onlyAFewMembersMaySendToAColdUpstream() {
         for (int upstream = 0; upstream < 50; upstream++) {
@@ -40,7 +40,7 @@
         }
     }
 
-    /** Guards against joining nodes that count themselves in before the others know of them. */
+    /** Guards against joining nodes that include themselves before the other nodes know of them. */
     @Test
     void aNodeThatJoinsSendsNothingToColdUpstreamsBeforeTheOthersKnowOfIt() {
         Roster roster = roster(0, 1, 8);
@@ -50,7 +50,7 @@
         assertThat(roster.maySendToCold(cold, SENDERS, START.plusSeconds(3))).isTrue();
     }
 
-    /** Guards against a node that sends without being counted. */
+    /** Guards against a node that sends requests without being counted. */
     @Test
     void aNodeThatIsNotRegisteredSendsNothingToColdUpstreams() {
         Roster roster = roster(0, 0, 4);
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void aLeaseThatNobodyRenewsIsRemovedByTheNodeInCharge() {
+    void anExpiredLeaseIsRemovedByTheResponsibleNode() {
         Member self = new Member(node(0), NORTH, 1);
         Registration registration = new Registration(self);
         registration.onEntry(self, START);
@@ -97,11 +97,11 @@
                 .containsExactly(node(1));
     }
 
-    /** Guards against a malformed record that would count as a member or stop the node. */
+    /** Guards against a malformed record that is taken for a member or stops the node. */
     @Test
-    void aRecordThatCannotBeReadNamesNoMember() {
-        byte[] whole = MemberRecord.encode(new Member(node(1), NORTH, 0.75));
-        assertThat(MemberRecord.decode("10.1.0.1", whole).get().capacity()).isEqualTo(0.75);
+    void aMalformedRecordIsNoMember() {
+        byte[] valid = MemberRecord.encode(new Member(node(1), NORTH, 0.75));
+        assertThat(MemberRecord.decode("10.1.0.1", valid).get().capacity()).isEqualTo(0.75);
         for (String text : List.of("", "2\tnorth\t1", "1\tnorth", "1\tnorth\tmuch", "1\tnorth\t-1", "1\t\t1")) {
             assertThat(MemberRecord.decode("10.1.0.1", text.getBytes()).isLeft())
                     .as(text)
