--- a/wagtaillug-core/src/main/java/org/wagtaillug/drain/AnswerTimes.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/drain/AnswerTimes.java
@@ -11,23 +11,26 @@
 import org.wagtaillug.id.RouteId;
 
 /**
- * How long the latest answers of each route took. A node that ends takes a request only if the longest of them fits into
- * what is left of its time.
+ * The durations of the most recent answers of each route. A node that is shutting down accepts a request only if the
+ * longest of them fits into its remaining time.
  *
- * <p>A caller's patience alone would not do: it is the worst case, several times what an answer takes, and a node would
- * refuse nearly everything from the moment on at which it is asked to end.
+ * <p>The caller's timeout would be too pessimistic: it is the worst case, several times the usual duration of an
+ * answer, and a node would refuse nearly every request as soon as its shutdown begins.
  */
 public final class AnswerTimes {
-    /** Answers that are remembered of a route. */
-    private static final int MOST = 32;
+    /** The maximum number of answers kept per route. */
+    private static final int MAX_ANSWERS = 32;
 
-    /** Fewer say too little: of the answers that follow four, one in ten takes longer than they did, allowance included. */
-    private static final int FEWEST = 8;
+    /**
+     * The minimum number of answers for an estimate. With four, one in ten of the following answers takes longer than
+     * the longest of them, even with the allowance.
+     */
+    private static final int MIN_ANSWERS = 8;
 
-    /** What an answer of long ago took says nothing of the load of now. */
-    private static final Duration REMEMBERED_FOR = Duration.ofMinutes(1);
+    /** Older answers do not reflect the current load. */
+    private static final Duration RETENTION = Duration.ofMinutes(1);
 
-    /** An answer may take so much longer, in percent, than the longest that is remembered. */
+    /** The allowance that is added to the longest kept answer, in percent. */
     private static final int ALLOWANCE_PERCENT = 25;
 
     private static final int PERCENT = 100;
@@ -37,49 +40,51 @@
     private record Answer(Instant endedAt, Duration fromArrival, Duration fromSending) {}
 
     /**
-     * Takes in an answer that was given whole, or for as long as its request had.
+     * Records an answer that was completed, or that lasted until the deadline of its request.
      *
-     * @param fromArrival from the arrival of its request to its end
-     * @param fromSending from the sending of its last attempt to its end
+     * @param fromArrival the time from the arrival of the request to the end of the answer
+     * @param fromSending the time from sending the last attempt to the end of the answer
      */
     public void onAnswered(RouteId route, Duration fromArrival, Duration fromSending, Instant now) {
         if (!routes.containsKey(route)) {
-            // Routes come and go with versions of the configuration.
-            routes.values().removeIf(answers -> lapsed(answers.getLast(), now));
+            // Routes are added and removed with configuration changes, so evict those without recent answers.
+            routes.values().removeIf(answers -> expired(answers.getLast(), now));
         }
         Deque<Answer> answers = routes.computeIfAbsent(route, id -> new ArrayDeque<>());
         answers.addLast(new Answer(now, fromArrival, fromSending));
-        if (answers.size() > MOST) {
+        if (answers.size() > MAX_ANSWERS) {
             answers.removeFirst();
         }
     }
 
-    /** What a request of the route may take from its arrival; empty if too little is known. */
+    /** The expected maximum duration of a request of the route from its arrival; empty if there are too few answers. */
     public Optional<Duration> fromArrival(RouteId route, Instant now) {
         return longest(route, Answer::fromArrival, now);
     }
 
-    /** What an attempt of the route may take from its sending; empty if too little is known. */
+    /**
+     * The expected maximum duration of an attempt of the route from its sending; empty if there are too few answers.
+     */
     public Optional<Duration> fromSending(RouteId route, Instant now) {
         return longest(route, Answer::fromSending, now);
     }
 
     private Optional<Duration> longest(RouteId route, Function<Answer, Duration> time, Instant now) {
-        int known = 0;
+        int count = 0;
         Duration longest = Duration.ZERO;
         for (Answer answer : routes.getOrDefault(route, new ArrayDeque<>())) {
-            if (lapsed(answer, now)) {
+            if (expired(answer, now)) {
                 continue;
             }
-            known++;
+            count++;
             Duration took = time.apply(answer);
             longest = took.compareTo(longest) > 0 ? took : longest;
         }
         Duration allowed = longest.multipliedBy(PERCENT + ALLOWANCE_PERCENT).dividedBy(PERCENT);
-        return known < FEWEST ? Optional.empty() : Optional.of(allowed);
+        return count < MIN_ANSWERS ? Optional.empty() : Optional.of(allowed);
     }
 
-    private static boolean lapsed(Answer answer, Instant now) {
-        return now.isAfter(answer.endedAt().plus(REMEMBERED_FOR));
+    private static boolean expired(Answer answer, Instant now) {
+        return now.isAfter(answer.endedAt().plus(RETENTION));
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/drain/Drain.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/drain/Drain.java
@@ -4,73 +4,73 @@
 import java.time.Instant;
 
 /**
- * The order in which a node gives up its work: first readiness, then new requests, then its place in the roster.
+ * The shutdown sequence of a node: it first becomes not ready, then refuses new requests, then leaves the roster.
  *
- * <p>The platform's balancer learns of the lost readiness only at its next look, so requests still come for a while. One
- * that what is left covers is still served; only after {@link #BALANCER_DELAY} is every new one refused. The process is
- * killed when its grace is over, so the last answer is given a little before.
+ * <p>The platform's balancer notices the lost readiness only at its next check, so requests still arrive for a while.
+ * Those that fit into the remaining time are served; after {@link #BALANCER_DELAY} all new requests are refused. The
+ * process is killed at the end of its grace period, so the last answers are given shortly before.
  */
 public final class Drain {
-    /** How long the balancer may take to stop sending. */
+    /** The time that the balancer may take to stop sending requests. */
     public static final Duration BALANCER_DELAY = Duration.ofSeconds(2);
 
     private final Grace grace;
-    private boolean left;
+    private boolean leaveReturned;
     private boolean finished;
 
-    /** What is due. */
+    /** The steps of the shutdown. */
     public enum Step {
-        /** Nothing was asked. */
+        /** No shutdown was requested. */
         SERVING,
-        /** Not ready, but what comes is served if what is left covers it. */
+        /** Not ready; new requests are served if they fit into the remaining time. */
         LEAVING_BALANCER,
-        /** New requests are refused; what was begun goes on. */
+        /** New requests are refused; requests in flight continue. */
         FINISHING,
-        /** Everything is answered: leave the roster now. Given once. */
+        /** All requests are answered; the node must leave the roster now. Returned once. */
         LEAVE,
-        /** Everything is done. */
+        /** The shutdown is complete. */
         FINISHED
     }
 
     /**
-     * Nothing is asked yet.
+     * Creates the sequence; the shutdown has not been requested yet.
      *
-     * @param grace how long after the word to end the process is killed
+     * @param grace the time from the shutdown request until the process is killed
      */
     public Drain(Duration grace) {
         this.grace = new Grace(grace);
     }
 
-    /** Begins; asking twice changes nothing. */
+    /** Starts the shutdown; further calls have no effect. */
     public void start(Instant now) {
         grace.start(now);
     }
 
-    /** Whether it has begun. */
+    /** Whether the shutdown has started. */
     public boolean started() {
         return grace.started();
     }
 
-    /** Whether the last moment for answers has come. */
+    /** Whether the time for answers is over. */
     public boolean outOfTime(Instant now) {
         return grace.outOfTime(now);
     }
 
-    /** Whether something that may take so long would be over before the last moment for answers. */
+    /** Whether work of the given duration would complete before the time for answers is over. */
     public boolean enoughFor(Duration needed, Instant now) {
         return !finished && grace.enoughFor(needed, now);
     }
 
-    /** Whether a new request must be refused. */
+    /** Whether new requests must be refused. */
     public boolean refuses(Instant now) {
         return started() && (finished || outOfTime(now) || grace.since(now).compareTo(BALANCER_DELAY) >= 0);
     }
 
     /**
-     * Says what is due.
+     * Returns the current step.
      *
-     * @param idle whether every request is answered, every attempt ended and every claim settled
-     * @param departed whether the roster no longer has this node
+     * @param idle whether all requests are answered, all attempts have ended and all claims are settled
+     * @param departed whether this node is no longer in the roster
      */
     public Step step(boolean idle, boolean departed, Instant now) {
         if (!started()) {
@@ -83,8 +83,8 @@
         if (!idle && !late) {
             return Step.FINISHING;
         }
-        if (!left) {
-            left = true;
+        if (!leaveReturned) {
+            leaveReturned = true;
             return Step.LEAVE;
         }
         finished = finished || departed || late;
--- a/wagtaillug-core/src/main/java/org/wagtaillug/drain/Grace.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/drain/Grace.java
@@ -5,66 +5,66 @@
 import java.util.Optional;
 
 /**
- * The time that a process has from the word to end until it is killed. The last answers are due a little before its end, so
- * that they can be written and the ports closed.
+ * The grace period from the shutdown request until the process is killed. The last answers are due shortly before its
+ * end, so that they can be written and the ports closed.
  *
- * <p>What a request still needs is compared with what is left. A node that takes a request without that look cuts it when
- * its time is over, and the caller finds its connection closed.
+ * <p>The time that a request needs is compared with the remaining time. Without that check, a node would accept
+ * requests that are cut off at the end of the grace period, and their callers would see a closed connection.
  */
 public final class Grace {
-    /** What is left of a long grace for writing the last answers and closing the ports. */
-    private static final Duration LONGEST_TO_EXIT = Duration.ofMillis(400);
+    /** The time reserved for writing the last answers and closing the ports, at most. */
+    private static final Duration MAX_EXIT_RESERVE = Duration.ofMillis(400);
 
-    /** As a part of a short grace: one in so many. */
-    private static final int TO_EXIT_PART = 8;
+    /** A short grace period reserves this share of it: one in eight. */
+    private static final int EXIT_RESERVE_DIVISOR = 8;
 
     private final Duration length;
     private Optional<Instant> startedAt = Optional.empty();
 
     /**
-     * Nothing is asked yet.
+     * Creates a grace period that has not started yet.
      *
-     * @param length how long after the word to end the process is killed
+     * @param length the time from the shutdown request until the process is killed
      */
     public Grace(Duration length) {
         this.length = length;
     }
 
-    /** How much of a grace is kept for writing the last answers and closing the ports. */
+    /** The share of a grace period that is reserved for writing the last answers and closing the ports. */
     public static Duration toExit(Duration length) {
-        Duration part = length.dividedBy(TO_EXIT_PART);
-        return part.compareTo(LONGEST_TO_EXIT) < 0 ? part : LONGEST_TO_EXIT;
+        Duration share = length.dividedBy(EXIT_RESERVE_DIVISOR);
+        return share.compareTo(MAX_EXIT_RESERVE) < 0 ? share : MAX_EXIT_RESERVE;
     }
 
-    /** Begins; asking twice changes nothing. */
-    public void start(Instant askedAt) {
+    /** Starts the grace period; further calls have no effect. */
+    public void start(Instant requestedAt) {
         if (startedAt.isEmpty()) {
-            startedAt = Optional.of(askedAt);
+            startedAt = Optional.of(requestedAt);
         }
     }
 
-    /** Whether it has begun. */
+    /** Whether the grace period has started. */
     public boolean started() {
         return startedAt.isPresent();
     }
 
-    /** How long ago it has begun; zero if it has not. */
+    /** The time since the start of the grace period; zero if it has not started. */
     public Duration since(Instant now) {
         return startedAt.map(started -> Duration.between(started, now)).orElse(Duration.ZERO);
     }
 
-    /** Whether the last moment for answers has come. */
+    /** Whether the time for answers is over. */
     public boolean outOfTime(Instant now) {
-        return startedAt.isPresent() && !now.isBefore(lastAnswers(startedAt.get()));
+        return startedAt.isPresent() && !now.isBefore(answersDue(startedAt.get()));
     }
 
-    /** Whether something that may take so long would be over before the last moment for answers; nothing is after it. */
+    /** Whether work of the given duration would complete before the time for answers is over; always false after it. */
     public boolean enoughFor(Duration needed, Instant now) {
         Duration time = needed.isNegative() ? Duration.ZERO : needed;
-        return startedAt.isEmpty() || !now.plus(time).isAfter(lastAnswers(startedAt.get()));
+        return startedAt.isEmpty() || !now.plus(time).isAfter(answersDue(startedAt.get()));
     }
 
-    private Instant lastAnswers(Instant started) {
+    private Instant answersDue(Instant started) {
         return started.plus(length).minus(toExit(length));
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/drain/package-info.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/drain/package-info.java
@@ -1,2 +1,2 @@
-/** Ending a node without cutting a request. */
+/** Graceful shutdown of a node, without interrupting requests. */
 package org.wagtaillug.drain;
--- a/wagtaillug-core/src/main/java/org/wagtaillug/placement/Placement.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/placement/Placement.java
@@ -20,122 +20,128 @@
 import org.wagtaillug.node.Effects;
 
 /**
- * Brings the engines that this node owns to the models that the plan gives them.
+ * Makes the engines that this node owns load the models that the placement plan assigns to them.
  *
- * <p>What each engine is to serve is the same at all nodes, see {@link PlacementPlan}; only the engine's owner orders it
- * there. The failures it guards against:
+ * <p>All nodes compute the same plan, see {@link PlacementPlan}, but only the owner of an engine issues load orders to
+ * it. Guards against these failures:
  *
  * <ul>
- *   <li>Two nodes give one engine different orders, and it loads back and forth. Only the owner issues orders, and only
- *       while it may grant: by then every right of the owner before has lapsed, which also holds for engines that do not
- *       check fencing numbers. For those that do, each order carries the offset that made this node the owner.
- *   <li>Requests for a model find no engine, because its last copy was switched to another model or version. An engine is
- *       switched only while another one in service reports the model and will not be switched before this one has done.
- *   <li>Many engines load at once and the weight store becomes the bottleneck. An owner has one load at a time under way
- *       and begins them at a distance that grows with the number of owners.
+ *   <li>Two nodes send an engine conflicting orders, and it switches models back and forth. Only the owner issues
+ *       orders, and only while it may grant: by then all rights of the previous owner have expired, so this also works
+ *       for engines that do not check fencing numbers. For those that do, each order carries the offset at which this
+ *       node became the owner.
+ *   <li>Requests for a model find no engine, because its last copy was switched to another model or version. An engine
+ *       is switched only while another engine in service reports the model and will not be switched before this one
+ *       has finished.
+ *   <li>Many engines load at once and the weight store becomes the bottleneck. An owner has one load in progress at a
+ *       time, and starts loads at an interval that grows with the number of owners.
  * </ul>
  *
- * <p>An order is repeated while the engine's report does not show its effect; an engine that has it done already ignores
- * it.
+ * <p>An order is repeated until the engine's load report shows its effect. Orders are idempotent: an engine that has
+ * already executed one ignores it.
  */
 public final class Placement {
-    /** The mean time between two loads of all nodes together: the weight store's rate is shared by all. */
+    /** The mean interval between loads across all nodes, which share the bandwidth of the weight store. */
     public static final Duration FLEET_LOAD_INTERVAL = Duration.ofSeconds(1);
 
-    private static final Duration REPEAT = Duration.ofSeconds(5);
+    private static final Duration REPEAT_INTERVAL = Duration.ofSeconds(5);
     private static final Duration LOAD_TIMEOUT = Duration.ofSeconds(60);
-    private static final Duration REPORT_FRESH = Duration.ofSeconds(5);
+    private static final Duration REPORT_VALIDITY = Duration.ofSeconds(5);
 
     private final Ownership ownership;
     private final Configuration configuration;
-    private final Map<VmId, Vm> listed = new TreeMap<>();
-    private final Map<VmId, Seen> reports = new HashMap<>();
-    private final Map<VmId, String> held = new HashMap<>();
+    private final Map<VmId, Vm> listedEngines = new TreeMap<>();
+    private final Map<VmId, ReceivedReport> reports = new HashMap<>();
+    private final Map<VmId, String> heldBackReasons = new HashMap<>();
     private List<Vm> plannedEngines = List.of();
     private List<PlacementContract> plannedPlacements = List.of();
     private Map<VmId, PlacementContract> planned = Map.of();
-    private Optional<Order> current = Optional.empty();
+    private Optional<Order> pending = Optional.empty();
     private Instant nextLoad = Instant.MIN;
 
-    private record Seen(LoadReport report, Instant at) {}
+    private record ReceivedReport(LoadReport report, Instant at) {}
 
     private record Order(VmId engine, PlacementContract wanted, Instant issued, Instant repeatAt) {}
 
-    /** Starts with no engine known. */
+    /** Creates a placement that knows no engine yet. */
     public Placement(Ownership ownership, Configuration configuration) {
         this.ownership = ownership;
         this.configuration = configuration;
     }
 
-    /** Takes in the platform's list. */
+    /** Updates the known engines from the platform's VM list. */
     public void onVmList(List<Vm> vms, Instant now) {
-        listed.clear();
+        listedEngines.clear();
         for (Vm vm : vms) {
             if (vm.upstream()) {
-                listed.put(vm.id(), vm);
+                listedEngines.put(vm.id(), vm);
             }
         }
-        reports.keySet().retainAll(listed.keySet());
-        held.keySet().retainAll(listed.keySet());
+        reports.keySet().retainAll(listedEngines.keySet());
+        heldBackReasons.keySet().retainAll(listedEngines.keySet());
     }
 
-    /** Takes in what an engine reports, to this node or, passed on, to another; an older report changes nothing. */
+    /**
+     * Processes a load report of an engine, received directly or relayed by another node; outdated reports are ignored.
+     */
     public void onLoadReport(VmId upstream, LoadReport report, Instant now) {
-        Seen before = reports.get(upstream);
-        if (before != null && report.equals(before.report())) {
+        ReceivedReport previous = reports.get(upstream);
+        if (previous != null && report.equals(previous.report())) {
             return;
         }
-        boolean sameStart = before != null && before.report().startedAt().equals(report.startedAt());
-        if (sameStart && report.reportedAt().isBefore(before.report().reportedAt())) {
+        boolean sameStart = previous != null && previous.report().startedAt().equals(report.startedAt());
+        if (sameStart && report.reportedAt().isBefore(previous.report().reportedAt())) {
             return;
         }
-        reports.put(upstream, new Seen(report, now));
+        reports.put(upstream, new ReceivedReport(report, now));
     }
 
-    /** Takes in an engine's answer to an order. One that was refused is decided anew after a while. */
+    /** Processes an engine's response to an order. A refused order is reconsidered after a delay. */
     public void onOrderEnded(VmId upstream, boolean accepted, Instant now, Effects effects) {
-        if (accepted || current.isEmpty() || !current.get().engine().equals(upstream)) {
+        if (accepted || pending.isEmpty() || !pending.get().engine().equals(upstream)) {
             return;
         }
-        current = Optional.empty();
-        nextLoad = now.plus(REPEAT);
+        pending = Optional.empty();
+        nextLoad = now.plus(REPEAT_INTERVAL);
         effects.add(new Effect.LogDecision(Decision.builder("order-refused")
                 .field("engine", upstream)
-                .field("again", "in " + REPEAT.toSeconds() + " s")
+                .field("again", "in " + REPEAT_INTERVAL.toSeconds() + " s")
                 .build()));
     }
 
-    /** Repeats the order under way, or issues the next one if there is one to issue. */
+    /** Repeats the pending order if it is due, or issues the next one. */
     public void onTick(Instant now, Effects effects) {
         Map<VmId, PlacementContract> plan = plan();
-        if (current.isPresent()) {
-            follow(current.get(), plan, now, effects);
+        if (pending.isPresent()) {
+            followUp(pending.get(), plan, now, effects);
             return;
         }
         if (now.isBefore(nextLoad)) {
             return;
         }
         for (Map.Entry<VmId, PlacementContract> each : plan.entrySet()) {
-            Vm engine = listed.get(each.getKey());
-            if (!due(engine, each.getValue(), now)) {
-                held.remove(engine.id());
+            Vm engine = listedEngines.get(each.getKey());
+            if (!needsSwitch(engine, each.getValue(), now)) {
+                heldBackReasons.remove(engine.id());
                 continue;
             }
-            Optional<String> objection = objection(engine, plan, now);
-            if (objection.isPresent()) {
-                logHeld(engine, each.getValue(), objection.get(), effects);
+            Optional<String> blocker = findBlocker(engine, plan, now);
+            if (blocker.isPresent()) {
+                logHeldBack(engine, each.getValue(), blocker.get(), effects);
                 continue;
             }
-            held.remove(engine.id());
-            begin(engine, each.getValue(), now, effects);
+            heldBackReasons.remove(engine.id());
+            start(engine, each.getValue(), now, effects);
             return;
         }
     }
 
-    /** What each engine in service is to serve; the same at every node with the same configuration and list. */
+    /**
+     * The placement assigned to each engine in service; identical on all nodes with the same configuration and VM list.
+     */
     public Map<VmId, PlacementContract> plan() {
         List<Vm> engines = new ArrayList<>();
-        for (Vm vm : listed.values()) {
+        for (Vm vm : listedEngines.values()) {
             if (!vm.leaving() && configuration.inService(vm)) {
                 engines.add(vm);
             }
@@ -149,28 +155,28 @@
         return planned;
     }
 
-    private boolean due(Vm engine, PlacementContract wanted, Instant now) {
-        Optional<LoadReport> report = fresh(engine.id(), now);
-        boolean mine = ownership.ownerOf(engine).equals(Optional.of(ownership.self()));
-        return mine && ownership.mayGrant(engine, now) && report.isPresent() && !serves(report.get(), wanted);
+    private boolean needsSwitch(Vm engine, PlacementContract wanted, Instant now) {
+        Optional<LoadReport> report = recentReport(engine.id(), now);
+        boolean owned = ownership.ownerOf(engine).equals(Optional.of(ownership.self()));
+        return owned && ownership.mayGrant(engine, now) && report.isPresent() && !serves(report.get(), wanted);
     }
 
-    /** Why an engine may not be switched now; empty if it may. */
-    private Optional<String> objection(Vm engine, Map<VmId, PlacementContract> plan, Instant now) {
-        Optional<ModelId> present = fresh(engine.id(), now).get().model();
-        if (present.isEmpty() || !wantedAtAll(present.get())) {
+    /** The reason why an engine must not be switched now; empty if it may be. */
+    private Optional<String> findBlocker(Vm engine, Map<VmId, PlacementContract> plan, Instant now) {
+        Optional<ModelId> present = recentReport(engine.id(), now).get().model();
+        if (present.isEmpty() || !isConfigured(present.get())) {
             return Optional.empty();
         }
         for (Map.Entry<VmId, PlacementContract> other : plan.entrySet()) {
             if (other.getKey().equals(engine.id())) {
                 continue;
             }
-            Optional<LoadReport> report = fresh(other.getKey(), now);
+            Optional<LoadReport> report = recentReport(other.getKey(), now);
             if (report.isEmpty() || !report.get().model().equals(present)) {
                 continue;
             }
-            // Two owners that each rely on the other's engine would take both copies. One that is still to be switched
-            // counts only for engines before it, so of two such engines just one may go.
+            // Two owners that each rely on the other's engine would switch both copies. An engine that is itself to be
+            // switched counts only for engines before it, so only one of two such engines may be switched.
             boolean stays = serves(report.get(), other.getValue());
             if (stays || other.getKey().compareTo(engine.id()) > 0) {
                 return Optional.empty();
@@ -179,7 +185,7 @@
         return Optional.of("last copy in service of " + present.get());
     }
 
-    private boolean wantedAtAll(ModelId model) {
+    private boolean isConfigured(ModelId model) {
         for (PlacementContract placement : configuration.placements()) {
             if (placement.model().equals(model)) {
                 return true;
@@ -188,34 +194,34 @@
         return false;
     }
 
-    private void begin(Vm engine, PlacementContract wanted, Instant now, Effects effects) {
-        current = Optional.of(new Order(engine.id(), wanted, now, now.plus(REPEAT)));
+    private void start(Vm engine, PlacementContract wanted, Instant now, Effects effects) {
+        pending = Optional.of(new Order(engine.id(), wanted, now, now.plus(REPEAT_INTERVAL)));
         int owners = Math.max(1, ownership.members().size());
         nextLoad = now.plus(FLEET_LOAD_INTERVAL.multipliedBy(owners));
         issue(engine, wanted, "planned", now, effects);
     }
 
-    private void follow(Order order, Map<VmId, PlacementContract> plan, Instant now, Effects effects) {
-        Vm engine = listed.get(order.engine());
+    private void followUp(Order order, Map<VmId, PlacementContract> plan, Instant now, Effects effects) {
+        Vm engine = listedEngines.get(order.engine());
         boolean stillPlanned = order.wanted().equals(plan.get(order.engine()));
         boolean expired = !now.isBefore(order.issued().plus(LOAD_TIMEOUT));
         if (engine == null || !stillPlanned || expired) {
-            current = Optional.empty();
+            pending = Optional.empty();
             return;
         }
-        Optional<LoadReport> report = fresh(order.engine(), now);
+        Optional<LoadReport> report = recentReport(order.engine(), now);
         if (report.isPresent() && serves(report.get(), order.wanted())) {
-            current = Optional.empty();
+            pending = Optional.empty();
             return;
         }
-        if (now.isBefore(order.repeatAt()) || !due(engine, order.wanted(), now)) {
+        if (now.isBefore(order.repeatAt()) || !needsSwitch(engine, order.wanted(), now)) {
             return;
         }
-        if (objection(engine, plan, now).isPresent()) {
-            current = Optional.empty();
+        if (findBlocker(engine, plan, now).isPresent()) {
+            pending = Optional.empty();
             return;
         }
-        current = Optional.of(new Order(order.engine(), order.wanted(), order.issued(), now.plus(REPEAT)));
+        pending = Optional.of(new Order(order.engine(), order.wanted(), order.issued(), now.plus(REPEAT_INTERVAL)));
         issue(engine, order.wanted(), "repeated", now, effects);
     }
 
@@ -228,15 +234,15 @@
                 .field("version", wanted.version())
                 .field("fencing", fencingNumber)
                 .field("reason", reason);
-        Optional<LoadReport> report = fresh(engine.id(), now);
+        Optional<LoadReport> report = recentReport(engine.id(), now);
         decision.field(
                 "before", report.flatMap(LoadReport::model).map(ModelId::value).orElse("none"));
         effects.add(new Effect.LogDecision(decision.build()));
     }
 
-    /** One line when an order is first held back for a reason, not one a tick. */
-    private void logHeld(Vm engine, PlacementContract wanted, String reason, Effects effects) {
-        if (reason.equals(held.put(engine.id(), reason))) {
+    /** Logs once when an order is held back for a new reason, instead of on every tick. */
+    private void logHeldBack(Vm engine, PlacementContract wanted, String reason, Effects effects) {
+        if (reason.equals(heldBackReasons.put(engine.id(), reason))) {
             return;
         }
         effects.add(new Effect.LogDecision(Decision.builder("order-held")
@@ -247,9 +253,9 @@
                 .build()));
     }
 
-    private Optional<LoadReport> fresh(VmId engine, Instant now) {
-        Seen seen = reports.get(engine);
-        if (seen == null || !now.isBefore(seen.at().plus(REPORT_FRESH))) {
+    private Optional<LoadReport> recentReport(VmId engine, Instant now) {
+        ReceivedReport seen = reports.get(engine);
+        if (seen == null || !now.isBefore(seen.at().plus(REPORT_VALIDITY))) {
             return Optional.empty();
         }
         return Optional.of(seen.report());
--- a/wagtaillug-core/src/main/java/org/wagtaillug/placement/PlacementPlan.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/placement/PlacementPlan.java
@@ -15,8 +15,8 @@
 import org.wagtaillug.membership.Vm;
 
 /**
- * Which engine is to serve which model: a function of the placements and the engines alone, so that all nodes with the
- * same configuration and list plan alike and need no word with one another.
+ * Assigns models to engines. The plan is a pure function of the placements and the engines, so all nodes with the same
+ * configuration and VM list compute the same plan without coordination.
  */
 final class PlacementPlan {
     private static final Comparator<PlacementContract> ORDER =
@@ -27,12 +27,13 @@
     /**
      * Assigns one placement to each engine of a pool that has placements.
      *
-     * <p>Every placement gets a first copy before any gets a second one. Engines beyond the wanted copies take further
-     * copies in turn: an empty engine serves nobody, and with a second copy a model can be replaced without a gap. The
-     * version has no part in an engine's weight, so a new version goes to the engines of the old one.
+     * <p>Every placement gets a first copy before any gets a second one. Engines beyond the requested copies are
+     * assigned additional copies in turn: an engine without a model is unused, and a second copy allows a model to be
+     * replaced without downtime. Engines are ranked by model, not by version, so a new version is placed on the engines
+     * of the old one.
      *
-     * @param engines the engines that are listed, not leaving and in service
-     * @return engines that get nothing are absent
+     * @param engines the engines that are listed, not leaving, and in service
+     * @return the placement of each engine; engines without a placement are absent
      */
     static Map<VmId, PlacementContract> of(Collection<PlacementContract> placements, Collection<Vm> engines) {
         Map<PoolId, List<PlacementContract>> byPool = new TreeMap<>();
@@ -57,27 +58,27 @@
         placements.sort(ORDER);
         Rendezvous rendezvous = new Rendezvous();
         Map<PlacementContract, List<Vm>> ranked = new HashMap<>();
-        int most = 0;
+        int maxCopies = 0;
         for (PlacementContract placement : placements) {
             ranked.put(placement, rendezvous.rank(placement.model().value(), engines));
-            most = Math.max(most, placement.copies());
+            maxCopies = Math.max(maxCopies, placement.copies());
         }
-        for (int copy = 1; copy <= most; copy++) {
+        for (int copy = 1; copy <= maxCopies; copy++) {
             for (PlacementContract placement : placements) {
                 if (placement.copies() >= copy) {
-                    takeBest(placement, ranked.get(placement), plan);
+                    assignBest(placement, ranked.get(placement), plan);
                 }
             }
         }
-        boolean left = true;
-        while (left) {
+        boolean enginesLeft = true;
+        while (enginesLeft) {
             for (PlacementContract placement : placements) {
-                left = left && takeBest(placement, ranked.get(placement), plan);
+                enginesLeft = enginesLeft && assignBest(placement, ranked.get(placement), plan);
             }
         }
     }
 
-    private static boolean takeBest(PlacementContract placement, List<Vm> ranked, Map<VmId, PlacementContract> plan) {
+    private static boolean assignBest(PlacementContract placement, List<Vm> ranked, Map<VmId, PlacementContract> plan) {
         for (Vm engine : ranked) {
             if (plan.putIfAbsent(engine.id(), placement) == null) {
                 return true;
--- a/wagtaillug-core/src/main/java/org/wagtaillug/placement/package-info.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/placement/package-info.java
@@ -1,2 +1,2 @@
-/** Which engine serves which model, and the orders that bring the engines there. */
+/** Model placement: decides which engine serves which model, and issues the load orders. */
 package org.wagtaillug.placement;
--- a/wagtaillug-core/src/main/java/org/wagtaillug/rollout/RolloutCoordinator.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/rollout/RolloutCoordinator.java
@@ -78,7 +78,7 @@
     }
 
     /**
-     * A status was read. If it was written elapsedBefore this node learned of the order, its elapsed time corrects the
+     * A status was read. If it was written before this node learned of the order, its elapsed time corrects the
      * age of the order.
      */
     public void onStatus(RolloutStatus status, Instant now) {
--- a/wagtaillug-core/src/test/java/org/wagtaillug/dispatch/DispatcherHarness.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/dispatch/DispatcherHarness.java
@@ -140,7 +140,7 @@
         };
     }
 
-    /** The attempts that the lastEffects step started. */
+    /** The attempts that the last step started. */
     List<Attempt> started() {
         List<Attempt> started = new ArrayList<>();
         for (Effect effect : lastEffects) {
@@ -151,7 +151,7 @@
         return started;
     }
 
-    /** The refusal that the lastEffects step returned. */
+    /** The refusal that the last step returned. */
     Optional<Effect.AnswerRefused> refused() {
         for (Effect effect : lastEffects) {
             if (effect instanceof Effect.AnswerRefused refused) {
--- a/wagtaillug-core/src/test/java/org/wagtaillug/dispatch/DispatcherTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/dispatch/DispatcherTest.java
@@ -149,7 +149,7 @@
 
     /**
      * Guards against responses that are cut off by a shutdown: a node has 5.9 s left and the three remaining stages
-     * usually record 6 s. If the next stage started, the text would be cut off at the end of the grace period and the
+     * usually take 6 s. If the next stage started, the text would be cut off at the end of the grace period and the
      * work of the engines wasted. Refused before its text begins, the caller can retry on another node at once.
      */
     @Test
@@ -226,7 +226,7 @@
 
     @Property(tries = 200, seed = "20261202")
     void everyRequestGetsOneAnswerAndNotRunIsCorrect(@ForAll long seed) {
-        // Attempts end randomly and in random order, deadlines advance and callers disconnect: each request is answered
+        // Attempts end randomly and in random order, deadlines pass and callers disconnect: each request is answered
         // exactly once, and no request that was answered "not run" had an attempt that may have reached an upstream.
         RandomGenerator random = new SplittableRandom(seed);
         DispatcherHarness harness = new DispatcherHarness(new DispatchLimits(6, 0.2, 0.5));
--- a/wagtaillug-core/src/test/java/org/wagtaillug/drain/AnswerTimesTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/drain/AnswerTimesTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void theLongestAnswerAndAQuarterCount() {
+    void theEstimateIsTheLongestAnswerPlusAQuarter() {
         answers(7, SECOND, SECOND.dividedBy(2), START);
         answers(1, SECOND.multipliedBy(4), SECOND.multipliedBy(2), START);
         assertThat(times.fromArrival(CHAT, START)).contains(Duration.ofSeconds(5));
@@ -30,14 +30,17 @@
     }
 
     @Test
-    void fewAnswersSayNothing() {
+    void tooFewAnswersGiveNoEstimate() {
         answers(7, SECOND, SECOND, START);
         assertThat(times.fromArrival(CHAT, START)).isEmpty();
     }
 
-    /** One chat that took a minute must not keep chats away from an ending node for the rest of its life. */
+    /**
+     * Guards against a single answer of one minute that makes a node refuse all requests of its route whenever it shuts
+     * down.
+     */
     @Test
-    void anAnswerIsForgottenAfterAMinuteOrThirtyTwoOthers() {
+    void anAnswerIsEvictedAfterAMinuteOrThirtyTwoOthers() {
         answers(1, Duration.ofMinutes(1), SECOND, START);
         answers(31, SECOND, SECOND, START.plusSeconds(30));
         assertThat(times.fromArrival(CHAT, START.plusSeconds(60))).contains(Duration.ofSeconds(75));
--- a/wagtaillug-core/src/test/java/org/wagtaillug/drain/DrainTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/drain/DrainTest.java
@@ -10,7 +10,7 @@
     private static final Instant START = Instant.parse("2026-12-01T08:00:00Z");
 
     @Test
-    void whatIsLeftCoversWhatIsOverByTheLastMoment() {
+    void theRemainingTimeCoversWorkThatCompletesBeforeAnswersAreDue() {
         Drain drain = new Drain(Duration.ofSeconds(8));
         assertThat(drain.enoughFor(Duration.ofHours(1), START)).isTrue();
         drain.start(START);
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void aNodeThatIsStillBusyLeavesTheRosterAtTheLastMoment() {
+    void aNodeThatIsStillBusyLeavesTheRosterWhenAnswersAreDue() {
         Drain drain = new Drain(Duration.ofSeconds(8));
         drain.start(START);
         assertThat(drain.step(false, false, START.plusMillis(7599))).isEqualTo(Drain.Step.FINISHING);
@@ -33,11 +33,11 @@
     }
 
     /**
-     * Story: a supervisor gives a node 1 s. The node waits 2 s for its balancer to notice, and is killed meanwhile: it
-     * stays in the roster, where the others wait for it to fall silent, and what was in flight is cut.
+     * Guards against a node that is killed before it has left the roster: its grace period is 1 s, but it waits 2 s for
+     * the balancer. The other nodes then detect its failure only by time-out, and requests in flight are interrupted.
      */
     @Test
-    void aGraceShorterThanTheBalancersDelayStillEndsInOrder() {
+    void aGracePeriodShorterThanTheBalancerDelayStillShutsDownInOrder() {
         Drain drain = new Drain(Duration.ofSeconds(1));
         drain.start(START);
         assertThat(drain.step(true, false, START.plusMillis(874))).isEqualTo(Drain.Step.LEAVING_BALANCER);
--- a/wagtaillug-core/src/test/java/org/wagtaillug/drain/GraceTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/drain/GraceTest.java
@@ -10,13 +10,13 @@
     private static final Instant START = Instant.parse("2026-12-01T08:00:00Z");
 
     @Test
-    void aLongGraceKeepsAFixedTimeToExitAndAShortOneAnEighth() {
+    void aLongGracePeriodReservesAFixedTimeAndAShortOneAnEighth() {
         assertThat(Grace.toExit(Duration.ofSeconds(30))).isEqualTo(Duration.ofMillis(400));
         assertThat(Grace.toExit(Duration.ofMillis(800))).isEqualTo(Duration.ofMillis(100));
     }
 
     @Test
-    void theLastMomentForAnswersFollowsFromTheGrace() {
+    void answersAreDueBeforeTheEndOfTheGracePeriod() {
         Grace grace = new Grace(Duration.ofSeconds(8));
         assertThat(grace.outOfTime(START)).isFalse();
         grace.start(START);
@@ -25,9 +25,12 @@
         assertThat(grace.since(START.plusMillis(7))).isEqualTo(Duration.ofMillis(7));
     }
 
-    /** A request that is past its deadline needs less than nothing; it must not be begun after the last answers. */
+    /**
+     * Guards against starting a request that is past its deadline, and so needs a negative time, after the last answers
+     * are due.
+     */
     @Test
-    void nothingFitsAfterTheLastMomentForAnswers() {
+    void nothingFitsAfterAnswersAreDue() {
         Grace grace = new Grace(Duration.ofSeconds(8));
         grace.start(START);
         assertThat(grace.enoughFor(Duration.ofMillis(-500), START.plusMillis(7600)))
@@ -37,7 +40,7 @@
     }
 
     @Test
-    void askingTwiceChangesNothing() {
+    void startingTwiceHasNoEffect() {
         Grace grace = new Grace(Duration.ofSeconds(8));
         assertThat(grace.enoughFor(Duration.ofHours(1), START)).isTrue();
         grace.start(START);
--- a/wagtaillug-core/src/test/java/org/wagtaillug/placement/PlacementTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/placement/PlacementTest.java
@@ -43,8 +43,8 @@
     private final Map<VmId, Integer> loadedAt = new TreeMap<>();
 
     /**
-     * Guests ask for menus and no engine has the model: an operator moves models about, and two owners each switch their
-     * engine in the belief that the other's keeps the model. Here owners own random engines, orders get lost, and a
+     * Guards against a model without any engine: an operator changes the placements, and two owners each switch their
+     * engine in the belief that the other's engine keeps the model. Owners own random engines, orders get lost, and a
      * switched engine serves nothing while it loads.
      */
     @Property(tries = 300, seed = "4713")
@@ -62,7 +62,7 @@
         List<FakeOwnership> views = new ArrayList<>();
         List<Placement> owners = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            PartOwner view = new PartOwner("node-" + i, i, 3);
+            PartialOwnership view = new PartialOwnership("node-" + i, i, 3);
             views.add(view);
             owners.add(new Placement(view, configuration));
             owners.get(i).onVmList(engines, START);
@@ -78,7 +78,7 @@
                 if (effect instanceof Effect.SendOrder order) {
                     orders++;
                     if (random.nextInt(10) > 0) {
-                        take(order, step);
+                        receive(order, step);
                     }
                 }
             }
@@ -90,7 +90,7 @@
         }
     }
 
-    private void take(Effect.SendOrder order, int step) {
+    private void receive(Effect.SendOrder order, int step) {
         Served present = serving.get(order.upstream());
         Served ordered = new Served(order.model(), order.version());
         if (ordered.equals(present) || ordered.equals(loading.get(order.upstream()))) {
@@ -99,7 +99,7 @@
         serving.remove(order.upstream());
         loading.put(order.upstream(), ordered);
         loadedAt.put(order.upstream(), step + LOAD_STEPS);
-        if (present != null && wanted(present.model())) {
+        if (present != null && isConfigured(present.model())) {
             assertThat(serving.values())
                     .as("engines that still serve %s", present.model())
                     .anyMatch(each -> each.model().equals(present.model()));
@@ -115,7 +115,7 @@
         }
     }
 
-    private boolean wanted(ModelId model) {
+    private boolean isConfigured(ModelId model) {
         return configuration.placements.stream().anyMatch(each -> each.model().equals(model));
     }
 
@@ -138,14 +138,14 @@
         return new LoadReport(START, now, 0, 0, 8, model, version, 0);
     }
 
-    /** At most one version of a model, at most {@code most} copies in all. */
-    private static List<PlacementContract> placements(Random random, int most) {
+    /** Random placements with at maxCopies one version per model and at maxCopies {@code maxCopies} copies in total. */
+    private static List<PlacementContract> placements(Random random, int maxCopies) {
         List<PlacementContract> placements = new ArrayList<>();
-        int left = Math.max(1, most);
-        for (int model = 0; model < 3 && left > 0; model++) {
-            int copies = 1 + random.nextInt(left);
+        int remaining = Math.max(1, maxCopies);
+        for (int model = 0; model < 3 && remaining > 0; model++) {
+            int copies = 1 + random.nextInt(remaining);
             placements.add(new PlacementContract(new ModelId("model-" + model), 1 + random.nextInt(3), POOL, copies));
-            left -= copies;
+            remaining -= copies;
         }
         return placements;
     }
@@ -174,12 +174,12 @@
         return ownership;
     }
 
-    /** Owns every third engine. */
-    private static final class PartOwner extends FakeOwnership {
+    /** Owns one part of the engines, by the hash of their ids. */
+    private static final class PartialOwnership extends FakeOwnership {
         private final int index;
         private final int count;
 
-        private PartOwner(String node, int index, int count) {
+        private PartialOwnership(String node, int index, int count) {
             super(new NodeId(new VmId(node), 1));
             this.index = index;
             this.count = count;
@@ -187,8 +187,8 @@
 
         @Override
         public Optional<NodeId> ownerOf(Vm upstream) {
-            boolean mine = Math.floorMod(upstream.id().hashCode(), count) == index;
-            return mine ? Optional.of(self()) : Optional.of(new NodeId(new VmId("other"), 1));
+            boolean owned = Math.floorMod(upstream.id().hashCode(), count) == index;
+            return owned ? Optional.of(self()) : Optional.of(new NodeId(new VmId("other"), 1));
         }
 
         @Override
@@ -198,8 +198,9 @@
     }
 
     /**
-     * Two models take turns on one engine: a former owner that is cut off still thinks that it is to order. It may not
-     * grant any more, so it may not order either; the order of the new owner carries the greater fencing number.
+     * Guards against an engine that switches back and forth between two models: a former owner that is cut off still
+     * considers itself the owner. It may no longer grant, so it must not issue orders either; the orders of the new
+     * owner carry a higher fencing number.
      */
     @Test
     void ordersOnlyWhileItMayGrant() {
@@ -219,7 +220,7 @@
                 .contains(new Effect.SendOrder(engines.get(0).id(), true, new ModelId("menu"), 1, 17));
     }
 
-    /** A weight store that all engines load from at once serves none of them in time. */
+    /** Guards against overloading the weight store by engines that all load at once. */
     @Test
     void loadsOneAtATime() {
         reset(4);
