--- a/wagtaillug-core/src/main/java/org/wagtaillug/contract/Body.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/contract/Body.java
@@ -4,7 +4,7 @@
 import org.wagtaillug.id.DomainId;
 import org.wagtaillug.id.VmId;
 
-/** What one configuration key holds. A key that was removed holds {@link Removed}, so that it keeps its version. */
+/** The value of a configuration key. A removed key holds {@link Removed}, so that it keeps its version. */
 public sealed interface Body
         permits Template,
                 CustomerContract,
@@ -15,17 +15,17 @@
                 Body.Removed,
                 Body.Unknown {
     /**
-     * Operators took a failure domain out of service.
+     * The service state of a failure domain, as set by operators.
      *
-     * @param domain which
+     * @param domain the failure domain
      * @param out true while it is out
      */
     record DomainService(DomainId domain, boolean out) implements Body {}
 
     /**
-     * Operators took one VM out of service.
+     * The service state of a VM, as set by operators.
      *
-     * @param vm which
+     * @param vm the VM
      * @param out true while it is out
      */
     record VmService(VmId vm, boolean out) implements Body {}
@@ -34,18 +34,18 @@
     record Removed() implements Body {}
 
     /**
-     * A body that this version of the program does not know. It is kept as it is and counts in versions and digests, so
-     * that old and new programs agree on which change won.
+     * A body of a kind that this version of the program does not know. It is kept unchanged and included in versions
+     * and digests, so that old and new versions of the program agree on which change won.
      *
-     * @param kind the name it came with
-     * @param text the body's text
+     * @param kind the name of its kind
+     * @param text the encoded body
      */
     record Unknown(String kind, String text) implements Body {}
 
     /**
-     * The key under which this body stands. The same for all versions of the same thing.
+     * The configuration key of this body, which is the same for all of its versions.
      *
-     * @throws IllegalStateException for {@link Removed} and {@link Unknown}, which do not know their key
+     * @throws IllegalStateException for {@link Removed} and {@link Unknown}, which do not contain their key
      */
     default String key() {
         return switch (this) {
@@ -55,8 +55,8 @@
             case PlacementContract placement -> "placement/" + placement.model();
             case DomainService service -> domainKey(service.domain());
             case VmService service -> vmKey(service.vm());
-            case Removed ignored -> throw new IllegalStateException("a removed body does not know its key");
-            case Unknown unknown -> throw new IllegalStateException("an unknown body does not know its key");
+            case Removed ignored -> throw new IllegalStateException("a removed body does not contain its key");
+            case Unknown unknown -> throw new IllegalStateException("an unknown body does not contain its key");
         };
     }
 
--- a/wagtaillug-core/src/main/java/org/wagtaillug/contract/CustomerContract.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/contract/CustomerContract.java
@@ -7,42 +7,46 @@
 import org.wagtaillug.id.TemplateId;
 
 /**
- * One customer's parameters.
+ * The parameters of one customer.
  *
- * @param id which customer
- * @param share its weight when capacity is short, above 0; a customer of share 2 gets twice that of one of share 1
- * @param parameters what it set for single templates; a template that is missing here has the template's own values
+ * @param id the customer
+ * @param share its weight when capacity is scarce, above 0; a customer of share 2 gets twice as much as one of share 1
+ * @param parameters its overrides per template; a template without an entry uses its overrides values
  */
 public record CustomerContract(CustomerId id, double share, Map<TemplateId, Parameters> parameters) implements Body {
-    /** Takes its own copy of the parameters. */
+    /** Makes a defensive copy of the parameters. */
     public CustomerContract {
         parameters = Map.copyOf(parameters);
     }
 
     /**
-     * What a customer set for one template.
+     * A customer's overrides for one template.
      *
-     * @param deadline the most time that its requests may take
-     * @param worth what one request served in time is worth
-     * @param idempotent whether a second run does no harm
+     * @param deadline the maximum duration of its requests
+     * @param worth the value of serving one request in time, relative to other requests
+     * @param idempotent whether it is safe to run a request more than once
      */
     public record Parameters(Optional<Duration> deadline, Optional<Double> worth, Optional<Boolean> idempotent) {}
 
-    /** The deadline for a template. */
+    /** The maximum duration of a request of a template. */
     public Duration deadlineOf(Template template) {
-        Parameters own = parameters.get(template.id());
-        return own == null ? template.deadline() : own.deadline().orElse(template.deadline());
+        Parameters overrides = parameters.get(template.id());
+        return overrides == null ? template.deadline() : overrides.deadline().orElse(template.deadline());
     }
 
-    /** The worth of one request of a template. */
+    /** The worth of a request of a template. */
     public double worthOf(Template template) {
-        Parameters own = parameters.get(template.id());
-        return own == null ? template.worth() : own.worth().orElse(template.worth());
+        Parameters overrides = parameters.get(template.id());
+        return overrides == null ? template.worth() : overrides.worth().orElse(template.worth());
     }
 
-    /** Whether a second run of a template's request does no harm. Both must say so: the stricter one counts. */
+    /**
+     * Whether it is safe to run a request of a template more than once: only if neither the template nor the customer
+     * declares it non-idempotent.
+     */
     public boolean idempotent(Template template) {
-        Parameters own = parameters.get(template.id());
-        return template.idempotent() && (own == null || own.idempotent().orElse(true));
+        Parameters overrides = parameters.get(template.id());
+        return template.idempotent()
+                && (overrides == null || overrides.idempotent().orElse(true));
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/contract/PlacementContract.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/contract/PlacementContract.java
@@ -4,11 +4,11 @@
 import org.wagtaillug.id.PoolId;
 
 /**
- * How many engines of a pool are to serve a model.
+ * The number of engines of a pool that have to serve a model.
  *
  * @param model the model
  * @param version its version, from 1
  * @param pool the pool of engines
- * @param copies how many engines, at least 1
+ * @param copies the number of engines, at least 1
  */
 public record PlacementContract(ModelId model, int version, PoolId pool, int copies) implements Body {}
--- a/wagtaillug-core/src/main/java/org/wagtaillug/contract/Stage.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/contract/Stage.java
@@ -8,20 +8,20 @@
 import org.wagtaillug.id.StageId;
 
 /**
- * One step of a template.
+ * One stage of a template.
  *
  * <pre>{@code
  * Stage rerank = Stage.builder("rerank").pool("rerank").work(StageWork.TRANSFORM).build();
  * }</pre>
  *
  * @param id unique within the template
- * @param pool the pool whose upstreams do it
- * @param work how they are called
- * @param operation the path segment of the call: the stage's or the service's operation; default the stage's id
- * @param model the model to generate with; only for {@link StageWork#GENERATE}
- * @param attempts the most attempts, hedges included, 1 to 5; default 3
- * @param hedge whether a straggling attempt may get a rival on another upstream; default true
- * @param timeout the most time one attempt may take; default 10 s
+ * @param pool the pool of upstreams that execute the stage
+ * @param work how the upstreams are called
+ * @param operation the operation that is called, as a path segment; default the stage's id
+ * @param model the model that generates; only for {@link StageWork#GENERATE}
+ * @param attempts the maximum number of attempts, including hedged ones, 1 to 5; default 3
+ * @param hedge whether a slow attempt may be hedged on another upstream; default true
+ * @param timeout the maximum duration of an attempt; default 10 s
  */
 public record Stage(
         StageId id,
@@ -32,12 +32,12 @@
         int attempts,
         boolean hedge,
         Duration timeout) {
-    /** Starts a stage with the defaults above; the pool's name defaults to the stage's. */
+    /** Creates a builder with the defaults above; the pool's name defaults to that of the stage. */
     public static Builder builder(String id) {
         return new Builder(new StageId(id));
     }
 
-    /** Collects the parts of a {@link Stage}. */
+    /** Builds a {@link Stage}. */
     public static final class Builder {
         private final StageId id;
         private PoolId pool;
@@ -66,7 +66,7 @@
             return this;
         }
 
-        /** Sets the path segment of the call. */
+        /** Sets the operation that is called. */
         public Builder operation(String name) {
             this.operation = Objects.requireNonNull(name);
             return this;
@@ -78,9 +78,9 @@
             return this;
         }
 
-        /** Sets the most attempts. */
-        public Builder attempts(int most) {
-            this.attempts = most;
+        /** Sets the maximum number of attempts. */
+        public Builder attempts(int maximum) {
+            this.attempts = maximum;
             return this;
         }
 
@@ -90,9 +90,9 @@
             return this;
         }
 
-        /** Sets the most time of one attempt. */
-        public Builder timeout(Duration most) {
-            this.timeout = Objects.requireNonNull(most);
+        /** Sets the maximum duration of an attempt. */
+        public Builder timeout(Duration maximum) {
+            this.timeout = Objects.requireNonNull(maximum);
             return this;
         }
 
--- a/wagtaillug-core/src/main/java/org/wagtaillug/contract/StageWork.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/contract/StageWork.java
@@ -2,10 +2,10 @@
 
 /** How a stage's upstreams are called. */
 public enum StageWork {
-    /** A stage pool: one JSON value in, one out. */
+    /** A transformation: takes one JSON value and returns another. */
     TRANSFORM,
-    /** A model engine: a prompt in, a stream of tokens out. */
+    /** Generation by a model engine: takes a prompt and returns a stream of tokens. */
     GENERATE,
-    /** A plain service: one operation. */
+    /** A call of a single operation of a service. */
     CALL
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/contract/Template.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/contract/Template.java
@@ -6,31 +6,31 @@
 import org.wagtaillug.id.TemplateId;
 
 /**
- * A pipeline as the operators described it: its stages in their order, under one deadline.
+ * A pipeline as defined by operators: its stages in order, with a common deadline.
  *
  * <pre>{@code
  * Template draft = Template.builder("menu-draft").stage(encode).stage(retrieve).stage(generate).build();
  * }</pre>
  *
- * @param id unique in the firm
- * @param stages in the order of their work; a plain call has one, a pipeline three to six
- * @param deadline the most time a request may take where the caller and the customer set none; default 10 s
- * @param idempotent whether running it twice does no harm; default true
- * @param worth what one request served in time is worth where the customer sets nothing; default 1
+ * @param id unique in the whole configuration
+ * @param stages in order of execution; a single call has one stage, a pipeline three to six
+ * @param deadline the maximum duration of a request if neither the caller nor the customer sets one; default 10 s
+ * @param idempotent whether it is safe to run a request more than once; default true
+ * @param worth the value of serving one request in time, relative to other requests, if the customer sets none; default 1
  */
 public record Template(TemplateId id, List<Stage> stages, Duration deadline, boolean idempotent, double worth)
         implements Body {
-    /** Takes its own copy of the stages. */
+    /** Makes a defensive copy of the stages. */
     public Template {
         stages = List.copyOf(stages);
     }
 
-    /** Starts a template with the defaults above and no stage. */
+    /** Creates a builder with the defaults above and no stages. */
     public static Builder builder(String id) {
         return new Builder(new TemplateId(id));
     }
 
-    /** Collects the parts of a {@link Template}. */
+    /** Builds a {@link Template}. */
     public static final class Builder {
         private final TemplateId id;
         private final List<Stage> stages = new ArrayList<>();
@@ -49,18 +49,18 @@
         }
 
         /** Sets the deadline. */
-        public Builder deadline(Duration most) {
-            this.deadline = most;
+        public Builder deadline(Duration maximum) {
+            this.deadline = maximum;
             return this;
         }
 
-        /** Sets whether a second run does no harm. */
-        public Builder idempotent(boolean harmless) {
-            this.idempotent = harmless;
+        /** Sets whether it is safe to run a request more than once. */
+        public Builder idempotent(boolean value) {
+            this.idempotent = value;
             return this;
         }
 
-        /** Sets the worth of one request served in time. */
+        /** Sets the worth of a request that is served in time. */
         public Builder worth(double value) {
             this.worth = value;
             return this;
--- a/wagtaillug-core/src/main/java/org/wagtaillug/contract/package-info.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/contract/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What operators and customers agreed: templates of pipelines, each customer's parameters, and what the servers of a
- * pool bear. All are immutable; each configuration change replaces one of them whole.
+ * The contents of the configuration: pipeline templates, customer parameters, model placements and pool limits. All are
+ * immutable; each configuration change replaces one of them as a whole.
  */
 package org.wagtaillug.contract;
--- a/wagtaillug-core/src/main/java/org/wagtaillug/feed/Feed.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/feed/Feed.java
@@ -48,7 +48,9 @@
         batch.records().forEach(record -> listed.put(record.key(), record));
         List<FeedRecord> removed = new ArrayList<>();
         for (FeedRecord current : List.copyOf(latest.values())) {
-            boolean missing = !listed.containsKey(current.key()) && current.value().isPresent() && current.offset() < batch.next();
+            boolean missing = !listed.containsKey(current.key())
+                    && current.value().isPresent()
+                    && current.offset() < batch.next();
             if (missing) {
                 FeedRecord removal = new FeedRecord(current.key(), batch.next() - 1, Optional.empty());
                 latest.put(current.key(), removal);
--- a/wagtaillug-core/src/main/java/org/wagtaillug/id/AttemptId.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/id/AttemptId.java
@@ -1,11 +1,12 @@
 package org.wagtaillug.id;
 
 /**
- * Names one try of one stage of one request, so that a late, doubled or foreign answer is told from the awaited one.
+ * Identifies one attempt of one stage of a request, to distinguish the expected response from late, duplicate or
+ * unrelated ones.
  *
  * @param request the request it belongs to
- * @param stage the stage that is tried
- * @param number counts the attempts of the request, from 1, over all its stages
+ * @param stage the stage that is attempted
+ * @param number the number of the attempt, counted from 1 over all stages of the request
  */
 public record AttemptId(RequestId request, StageId stage, int number) {
     @Override
--- a/wagtaillug-core/src/main/java/org/wagtaillug/id/CustomerId.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/id/CustomerId.java
@@ -1,14 +1,14 @@
 package org.wagtaillug.id;
 
 /**
- * Names a customer, for example {@code office-nord}.
+ * Identifies a customer, for example {@code office-nord}.
  *
  * @param value 1 to 128 characters, not blank
  */
 public record CustomerId(String value) implements Comparable<CustomerId> {
-    /** Checks the length. */
+    /** Validates the value. */
     public CustomerId {
-        value = IdText.checked("CustomerId", value);
+        value = IdText.validated("CustomerId", value);
     }
 
     @Override
--- a/wagtaillug-core/src/main/java/org/wagtaillug/id/DomainId.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/id/DomainId.java
@@ -1,14 +1,14 @@
 package org.wagtaillug.id;
 
 /**
- * Names a failure domain, for example {@code pl-a}.
+ * Identifies a failure domain, for example {@code pl-a}.
  *
  * @param value 1 to 128 characters, not blank
  */
 public record DomainId(String value) implements Comparable<DomainId> {
-    /** Checks the length. */
+    /** Validates the value. */
     public DomainId {
-        value = IdText.checked("DomainId", value);
+        value = IdText.validated("DomainId", value);
     }
 
     @Override
--- a/wagtaillug-core/src/main/java/org/wagtaillug/id/ModelId.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/id/ModelId.java
@@ -1,14 +1,14 @@
 package org.wagtaillug.id;
 
 /**
- * Names a model that engines serve, for example {@code menu-7b}.
+ * Identifies a model that engines serve, for example {@code menu-7b}.
  *
  * @param value 1 to 128 characters, not blank
  */
 public record ModelId(String value) implements Comparable<ModelId> {
-    /** Checks the length. */
+    /** Validates the value. */
     public ModelId {
-        value = IdText.checked("ModelId", value);
+        value = IdText.validated("ModelId", value);
     }
 
     @Override
--- a/wagtaillug-core/src/main/java/org/wagtaillug/id/NodeId.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/id/NodeId.java
@@ -3,11 +3,11 @@
 import java.util.Comparator;
 
 /**
- * Names one run of the daemon: the VM and which of its runs. A restarted node is another node, so that nothing that was
- * promised to or by the old run is held against the new one.
+ * Identifies one run of the daemon: the VM and the incarnation. A restarted node counts as another node, so that
+ * commitments to or by the old run do not apply to the new one.
  *
  * @param vm the VM that the node runs on
- * @param incarnation the start of the run, Unix milliseconds; a later run has a greater one
+ * @param incarnation the start of the run in Unix milliseconds; later runs have higher values
  */
 public record NodeId(VmId vm, long incarnation) implements Comparable<NodeId> {
     private static final Comparator<NodeId> ORDER =
--- a/wagtaillug-core/src/main/java/org/wagtaillug/id/OperatorId.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/id/OperatorId.java
@@ -1,14 +1,14 @@
 package org.wagtaillug.id;
 
 /**
- * Names the operator who made a change.
+ * Identifies the operator who made a change.
  *
  * @param value 1 to 128 characters, not blank
  */
 public record OperatorId(String value) implements Comparable<OperatorId> {
-    /** Checks the length. */
+    /** Validates the value. */
     public OperatorId {
-        value = IdText.checked("OperatorId", value);
+        value = IdText.validated("OperatorId", value);
     }
 
     @Override
--- a/wagtaillug-core/src/main/java/org/wagtaillug/id/PoolId.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/id/PoolId.java
@@ -1,14 +1,14 @@
 package org.wagtaillug.id;
 
 /**
- * Names a pool of upstreams that do the same work, for example {@code generate}.
+ * Identifies a pool of upstreams that do the same work, for example {@code generate}.
  *
  * @param value 1 to 128 characters, not blank
  */
 public record PoolId(String value) implements Comparable<PoolId> {
-    /** Checks the length. */
+    /** Validates the value. */
     public PoolId {
-        value = IdText.checked("PoolId", value);
+        value = IdText.validated("PoolId", value);
     }
 
     @Override
--- a/wagtaillug-core/src/main/java/org/wagtaillug/id/RegionId.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/id/RegionId.java
@@ -1,14 +1,14 @@
 package org.wagtaillug.id;
 
 /**
- * Names a region, for example {@code port-louis}.
+ * Identifies a region, for example {@code port-louis}.
  *
  * @param value 1 to 128 characters, not blank
  */
 public record RegionId(String value) implements Comparable<RegionId> {
-    /** Checks the length. */
+    /** Validates the value. */
     public RegionId {
-        value = IdText.checked("RegionId", value);
+        value = IdText.validated("RegionId", value);
     }
 
     @Override
--- a/wagtaillug-core/src/main/java/org/wagtaillug/id/RouteId.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/id/RouteId.java
@@ -1,14 +1,14 @@
 package org.wagtaillug.id;
 
 /**
- * Names a route, for example {@code r-dish-query}.
+ * Identifies a route, for example {@code r-dish-query}.
  *
  * @param value 1 to 128 characters, not blank
  */
 public record RouteId(String value) implements Comparable<RouteId> {
-    /** Checks the length. */
+    /** Validates the value. */
     public RouteId {
-        value = IdText.checked("RouteId", value);
+        value = IdText.validated("RouteId", value);
     }
 
     @Override
--- a/wagtaillug-core/src/main/java/org/wagtaillug/id/StageId.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/id/StageId.java
@@ -1,14 +1,14 @@
 package org.wagtaillug.id;
 
 /**
- * Names a stage within its template, for example {@code rerank}.
+ * Identifies a stage within its template, for example {@code rerank}.
  *
  * @param value 1 to 128 characters, not blank
  */
 public record StageId(String value) implements Comparable<StageId> {
-    /** Checks the length. */
+    /** Validates the value. */
     public StageId {
-        value = IdText.checked("StageId", value);
+        value = IdText.validated("StageId", value);
     }
 
     @Override
--- a/wagtaillug-core/src/main/java/org/wagtaillug/id/TemplateId.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/id/TemplateId.java
@@ -1,14 +1,14 @@
 package org.wagtaillug.id;
 
 /**
- * Names a template, for example {@code menu-draft}.
+ * Identifies a template, for example {@code menu-draft}.
  *
  * @param value 1 to 128 characters, not blank
  */
 public record TemplateId(String value) implements Comparable<TemplateId> {
-    /** Checks the length. */
+    /** Validates the value. */
     public TemplateId {
-        value = IdText.checked("TemplateId", value);
+        value = IdText.validated("TemplateId", value);
     }
 
     @Override
--- a/wagtaillug-core/src/main/java/org/wagtaillug/id/VmId.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/id/VmId.java
@@ -1,14 +1,14 @@
 package org.wagtaillug.id;
 
 /**
- * Names a VM, one of ours or an upstream, as the VM list does, for example {@code ramdin-engine-3}.
+ * Identifies a VM, of a node or of an upstream, by its name in the VM list, for example {@code ramdin-engine-3}.
  *
  * @param value 1 to 128 characters, not blank
  */
 public record VmId(String value) implements Comparable<VmId> {
-    /** Checks the length. */
+    /** Validates the value. */
     public VmId {
-        value = IdText.checked("VmId", value);
+        value = IdText.validated("VmId", value);
     }
 
     @Override
--- a/wagtaillug-core/src/main/java/org/wagtaillug/id/package-info.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/id/package-info.java
@@ -1,2 +1,2 @@
-/** Ids as value types, so that a request's id is never taken for an attempt's. */
+/** Identifiers as value types, so that ids of different kinds cannot be confused. */
 package org.wagtaillug.id;
--- a/wagtaillug-core/src/main/java/org/wagtaillug/message/PeerMessage.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/message/PeerMessage.java
@@ -8,7 +8,7 @@
 import org.wagtaillug.id.VmId;
 import org.wagtaillug.log.LogRecord;
 
-/** One message between two nodes. */
+/** A message between two nodes. */
 public sealed interface PeerMessage
         permits PeerMessage.Probe,
                 PeerMessage.ProbeReply,
@@ -18,42 +18,43 @@
                 PeerMessage.GrantReply,
                 ServingMessage {
     /**
-     * How far a node has read the control stream and what it made of it.
+     * The position of a node in the control stream, with the digest of its resulting state.
      *
-     * @param through the last offset that it has folded in
-     * @param digest of its whole control state; equal at equal offsets unless one of the two is corrupt
+     * @param through the last offset that was applied
+     * @param digest the digest of the complete control state; equal at equal offsets unless one of the states is
+     *     corrupt
      */
     record Position(long through, long digest) {}
 
     /**
-     * Asks whether the other is there and how far it has read.
+     * Checks whether the receiver is up, and asks for its position.
      *
-     * @param sequence comes back in the answer
-     * @param position the sender's
+     * @param sequence returned in the reply
+     * @param position the position of the sender
      */
     record Probe(long sequence, Position position) implements PeerMessage {}
 
     /**
-     * Answers a {@link Probe}.
+     * The reply to a {@link Probe}.
      *
-     * @param sequence of the probe
-     * @param position the sender's
-     * @param tailAge how long before it got the probe the sender had asked for the read that last reached the tail of
-     *     the control stream; empty if none did yet. Lets the prober conclude: at my probe's sending less this age,
-     *     everything up to {@code position} was all there was
+     * @param sequence the sequence of the probe
+     * @param position the position of the sender
+     * @param tailAge the time between the request for the sender's last read that reached the tail of the control
+     *     stream and the arrival of the probe; empty if no read has reached it yet. It tells the prober that at the
+     *     time of sending its probe, minus this age, the stream ended at {@code position}
      * @param logReachable whether the sender's last read of the log was answered
-     * @param ready whether the sender takes new requests
+     * @param ready whether the sender accepts new requests
      */
     record ProbeReply(long sequence, Position position, Optional<Duration> tailAge, boolean logReachable, boolean ready)
             implements PeerMessage {}
 
-    /** Asks for the whole control state. */
+    /** Requests the complete control state. */
     record StateAsk() implements PeerMessage {}
 
     /**
-     * The whole control state after a given offset.
+     * The complete control state as of an offset.
      *
-     * @param through every record up to this offset is in it, none after it
+     * @param through the offset up to which all records are included, and no later ones
      * @param entries the configuration
      * @param members the roster
      */
@@ -61,43 +62,45 @@
             implements PeerMessage {}
 
     /**
-     * Asks an owner for allowances, and reports what the last ones were used for.
+     * Requests allowances from an owner, and reports the use of the previous ones.
      *
-     * @param sequence rises with each ask to this owner; comes back in the reply
-     * @param applied the sequence of the newest reply that the sender acts on; 0 for none
+     * @param sequence increases with each request to this owner; returned in the reply
+     * @param applied the sequence of the latest reply that the sender has applied; 0 for none
      * @param demands one for each upstream of this owner that the sender uses or wants to use
      */
     record GrantAsk(long sequence, long applied, List<GrantDemand> demands) implements PeerMessage {}
 
     /**
-     * One node's want of one upstream.
+     * The demand of one node for one upstream.
      *
-     * @param upstream which
-     * @param wanted how many requests it would have in flight there at once
-     * @param inUse how many it has in flight now
-     * @param succeeded how many ended well since {@code startedAt}, of this node's alone
-     * @param failed whether the upstream failed or refused since the last ask in a way that suggests it is cold
-     * @param startedAt the start of the upstream that the counts are of; empty when not known
+     * @param upstream the upstream
+     * @param wanted the number of requests that the node would have in flight there concurrently
+     * @param inUse the number of requests that it has in flight now
+     * @param succeeded the number of requests of this node that succeeded since {@code startedAt}
+     * @param failed whether the upstream has failed or refused requests since the last message in a way that suggests
+     *     that it is cold
+     * @param startedAt the start time of the upstream to which the counts refer; empty if unknown
      */
     record GrantDemand(
             VmId upstream, int wanted, int inUse, long succeeded, boolean failed, Optional<Instant> startedAt) {}
 
     /**
-     * An owner's answer, or unasked word of a smaller allowance.
+     * An owner's reply, or an unsolicited reduction of an allowance.
      *
-     * @param sequence of the ask; 0 when unasked
-     * @param offers one for each upstream that was asked for and that the sender owns
+     * @param sequence the sequence of the request; 0 if unsolicited
+     * @param offers one for each requested upstream that the sender owns
      */
     record GrantReply(long sequence, List<GrantOffer> offers) implements PeerMessage {}
 
     /**
      * The right to have requests in flight at one upstream.
      *
-     * @param upstream which
-     * @param allowed the most in flight at once; a start above it, or after the lifetime, is not allowed
-     * @param lifetime how long it holds, counted from the sending of the ask that it answers
+     * @param upstream the upstream
+     * @param allowed the maximum number of requests in flight; no request may be started beyond it, or after the
+     *     lifetime
+     * @param lifetime how long the grant is valid, counted from the sending of the request that it answers
      * @param cold whether the upstream is cold
-     * @param report the newest load report, if there is one
+     * @param report the latest load report, if any
      */
     record GrantOffer(VmId upstream, int allowed, Duration lifetime, boolean cold, Optional<LoadReport> report) {}
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/message/ServingMessage.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/message/ServingMessage.java
@@ -14,17 +14,17 @@
 import org.wagtaillug.id.RequestId;
 import org.wagtaillug.rollout.RolloutSample;
 
-/** What nodes that route by host and path say to one another. Any message may be lost. */
+/** The messages between nodes that route by host and path. Any message may be lost. */
 public sealed interface ServingMessage extends PeerMessage {
     /**
      * The sender is up.
      *
-     * @param reply whether it answers a heartbeat; a reply is not replied to
-     * @param serving whether the sender takes work; false while it shuts down
-     * @param follows whether the receiver should pass on what it reads of the feeds
-     * @param storeLost whether the sender's newest read of a feed has failed
-     * @param positions how far the sender has read each feed
-     * @param waits expected waits at the pools whose calls the sender schedules; short ones are left out
+     * @param reply whether this is the reply to a heartbeat; replies are not answered
+     * @param serving whether the sender accepts work; false during shutdown
+     * @param follows whether the receiver should relay its reads of the feeds to the sender
+     * @param storeLost whether the sender's latest read of a feed has failed
+     * @param positions the sender's position in each feed
+     * @param waits expected queueing delays at the pools whose calls the sender schedules; short ones are omitted
      */
     record Heartbeat(
             boolean reply,
@@ -34,24 +34,24 @@
             Map<FeedName, Long> positions,
             List<QueueDelayEstimate> waits)
             implements ServingMessage {
-        /** Copies the list. */
+        /** Makes a defensive copy of the list. */
         public Heartbeat {
             waits = List.copyOf(waits);
         }
     }
 
     /**
-     * What the sender has just read of a feed, without records that say nothing new.
+     * The result of the sender's latest read of a feed, without records that change nothing.
      *
      * @param feed which feed
-     * @param from the position that the read began at
-     * @param batch the records, and the position after them
-     * @param storeUnstable whether one of the sender's reads has failed lately
+     * @param from the position at which the read started
+     * @param batch the records, with the position after them
+     * @param storeUnstable whether one of the sender's reads has failed recently
      */
     record FeedUpdate(FeedName feed, long from, FeedBatch batch, boolean storeUnstable) implements ServingMessage {}
 
     /**
-     * Asks for what the store does not tell the sender.
+     * Requests records that the sender cannot read from the store.
      *
      * @param feed which feed
      * @param from the sender's position; 0 if it has read nothing
@@ -59,7 +59,7 @@
     record FeedAsk(FeedName feed, long from) implements ServingMessage {}
 
     /**
-     * The newest records from a position.
+     * The latest records from a position.
      *
      * @param feed which feed
      * @param batch the records
@@ -67,21 +67,21 @@
     record FeedHelp(FeedName feed, FeedBatch batch) implements ServingMessage {}
 
     /**
-     * Orders all pieces of a step from the node that fills the pool's calls; said again while nothing is heard. Times are
-     * lengths, as clocks differ.
+     * Orders all pieces of a step from the node that schedules the pool's calls; resent until it is answered. Times are
+     * durations, as the clocks of nodes differ.
      *
-     * @param number given once in a run of the sender
-     * @param request whose
+     * @param number unique within a run of the sender
+     * @param request the request that the step belongs to
      * @param step the number of the step
      * @param pool the pool
-     * @param pieces how many
-     * @param key what a step without inputs works on
-     * @param inputs the handles that each piece takes
-     * @param resultBytes about how large one result is
-     * @param near the failure domain where most of its inputs lie
-     * @param rank 0 goes first
-     * @param aimLeft the time to the aim, below zero once it has passed
-     * @param deadlineLeft the time to the deadline
+     * @param pieces the number of pieces
+     * @param key the key that a step without inputs works on
+     * @param inputs the handles of the inputs of each piece
+     * @param resultBytes the approximate size of one result
+     * @param near the failure domain that holds most of its inputs
+     * @param rank the priority rank; 0 is served first
+     * @param aimLeft the time until the latency target; negative once it has passed
+     * @param deadlineLeft the time until the deadline
      */
     record PiecesWanted(
             long number,
@@ -99,37 +99,37 @@
             implements ServingMessage {}
 
     /**
-     * Answers {@link PiecesWanted}.
+     * The response to {@link PiecesWanted}.
      *
-     * @param number of the order
-     * @param outcome what became of it
+     * @param number the number of the order
+     * @param outcome the outcome of the order
      */
     record PiecesAnswered(long number, BatchOutcome outcome) implements ServingMessage {}
 
     /**
-     * The pieces of an order are not wanted any more.
+     * Cancels an order of pieces.
      *
-     * @param number of the order
+     * @param number the number of the order
      */
     record PiecesWithdrawn(long number) implements ServingMessage {}
 
     /**
-     * What requests saw at the upstreams of a pool that is being rolled out.
+     * The results of requests to the upstreams of a pool with a rollout in progress.
      *
      * @param order the id of the rollout's order
-     * @param samples what they saw, since the last report to the receiver
+     * @param samples the samples since the last report to the receiver
      */
     record RolloutReport(long order, List<RolloutSample> samples) implements ServingMessage {
-        /** Copies the list. */
+        /** Makes a defensive copy of the list. */
         public RolloutReport {
             samples = List.copyOf(samples);
         }
     }
 
     /**
-     * Results may be given up.
+     * Releases results that are no longer needed.
      *
-     * @param results which
+     * @param results the results
      */
     record ResultsReleased(List<StepResult> results) implements ServingMessage {}
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/message/package-info.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/message/package-info.java
@@ -1,2 +1,2 @@
-/** What nodes say to one another. Each message may be lost, doubled, late or out of order. */
+/** Messages between nodes. Each may be lost, duplicated, delayed or reordered. */
 package org.wagtaillug.message;
--- a/wagtaillug-core/src/main/java/org/wagtaillug/result/Payload.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/result/Payload.java
@@ -3,9 +3,9 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Bytes that the decisions pass on without looking inside: a JSON value in UTF-8. Never changed after construction. */
+/** Opaque content that is forwarded without being parsed: a JSON value in UTF-8. Immutable. */
 public final class Payload {
-    /** No bytes. */
+    /** An empty payload. */
     public static final Payload EMPTY = new Payload(new byte[0]);
 
     private final byte[] bytes;
@@ -14,7 +14,7 @@
         this.bytes = bytes;
     }
 
-    /** Wraps bytes that the caller gives up: they are not copied. */
+    /** Wraps an array without copying it; the caller must not modify it afterwards. */
     public static Payload wrap(byte[] bytes) {
         return new Payload(bytes);
     }
@@ -24,7 +24,7 @@
         return new Payload(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** The bytes themselves; not to be changed. */
+    /** The underlying bytes, which must not be modified. */
     public byte[] bytes() {
         return bytes;
     }
@@ -34,7 +34,7 @@
         return bytes.length;
     }
 
-    /** The bytes read as UTF-8. */
+    /** The bytes decoded as UTF-8. */
     public String text() {
         return new String(bytes, StandardCharsets.UTF_8);
     }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/result/Refusal.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/result/Refusal.java
@@ -3,20 +3,21 @@
 import java.time.Duration;
 
 /**
- * An honest no.
+ * A negative response to a caller.
  *
- * @param code why
- * @param run what is known of whether the request took effect
- * @param retryAfter when it is worth coming back; zero when it is not
- * @param message a sentence for the caller, which names the input, what was expected and the nearest valid choice
+ * @param code the reason
+ * @param run what is known about whether the request took effect
+ * @param retryAfter the time after which a retry may succeed; zero if a retry will not help
+ * @param message an error message for the caller that states the input, the expected value and the closest valid
+ *     alternative
  */
 public record Refusal(ResultCode code, RunState run, Duration retryAfter, String message) {
-    /** A refusal of a request that had no effect and never will. */
+    /** Creates a refusal of a request that had no effect and never will. */
     public static Refusal notRun(ResultCode code, Duration retryAfter, String message) {
         return new Refusal(code, RunState.NOT_RUN, retryAfter, message);
     }
 
-    /** A refusal of a request of which nobody here can say whether it took effect. */
+    /** Creates a refusal of a request that may or may not have taken effect. */
     public static Refusal unknown(ResultCode code, Duration retryAfter, String message) {
         return new Refusal(code, RunState.UNKNOWN, retryAfter, message);
     }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/result/RunState.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/result/RunState.java
@@ -1,6 +1,6 @@
 package org.wagtaillug.result;
 
-/** What a caller may take as true about its request after a refusal. */
+/** What a caller can assume about the execution of its request after a refusal. */
 public enum RunState {
     /** It took effect. */
     RUN("run"),
@@ -15,7 +15,7 @@
         this.text = text;
     }
 
-    /** The word used on the wire and in logs. */
+    /** The representation on the wire and in logs. */
     public String text() {
         return text;
     }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/result/package-info.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/result/package-info.java
@@ -1,2 +1,2 @@
-/** How a request ended: numbered codes, and what is known of whether it ran. */
+/** Results of requests: numbered result codes, and what is known about whether the request was executed. */
 package org.wagtaillug.result;
--- a/wagtaillug-core/src/main/java/org/wagtaillug/rollout/RolloutPlan.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/rollout/RolloutPlan.java
@@ -55,7 +55,8 @@
         }
         if (status.share() >= 1) {
             Duration drained = elapsed.minus(status.elapsed());
-            boolean complete = elapsed.compareTo(fractionOf(order, COMPLETE_AT)) >= 0 && drained.compareTo(MIN_DRAIN) >= 0;
+            boolean complete =
+                    elapsed.compareTo(fractionOf(order, COMPLETE_AT)) >= 0 && drained.compareTo(MIN_DRAIN) >= 0;
             return complete ? status.ended(RolloutStatus.State.COMPLETED, elapsed) : status;
         }
         double share = share(order, status, comparison, limits, elapsed);
--- a/wagtaillug-core/src/main/java/org/wagtaillug/rollout/RolloutStatus.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/rollout/RolloutStatus.java
@@ -55,6 +55,7 @@
 
     /** Returns this status with a final state. */
     public RolloutStatus ended(State finalState, Duration sinceOrder) {
-        return new RolloutStatus(order, version, finalState, finalState == State.COMPLETED ? 1 : 0, sinceOrder, replaced);
+        return new RolloutStatus(
+                order, version, finalState, finalState == State.COMPLETED ? 1 : 0, sinceOrder, replaced);
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/rollout/VersionComparison.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/rollout/VersionComparison.java
@@ -66,7 +66,8 @@
                 return;
             }
             current = true;
-            slowLimit = samples.size() < MIN_BASELINE ? Optional.empty() : Optional.of(median().multipliedBy(SLOW_FACTOR));
+            slowLimit =
+                    samples.size() < MIN_BASELINE ? Optional.empty() : Optional.of(median().multipliedBy(SLOW_FACTOR));
             long badCount = samples.stream().filter(this::bad).count();
             badRate = Math.min(MAX_BASELINE_RATE, badCount / (double) Math.max(MIN_BASELINE, samples.size()));
         }
@@ -102,7 +103,9 @@
     private static double logRatio(boolean isBad, double baselineRate) {
         double acceptableRate = baselineRate + TOLERANCE;
         double badVersionRate = acceptableRate + MIN_EFFECT;
-        return isBad ? Math.log(badVersionRate / acceptableRate) : Math.log((1 - badVersionRate) / (1 - acceptableRate));
+        return isBad
+                ? Math.log(badVersionRate / acceptableRate)
+                : Math.log((1 - badVersionRate) / (1 - acceptableRate));
     }
 
     /** Whether the new version is worse than the old one. */
