--- a/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/Dispatcher.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/Dispatcher.java
@@ -509,12 +509,12 @@
         for (LiveAttempt live : List.copyOf(attempts.values())) {
             checkAttempt(live, now, effects);
         }
-        onRoom(now, effects);
+        onCapacityAvailable(now, effects);
         reportDemands(now);
     }
 
     /** Starts queued requests after this node was granted more capacity. */
-    public void onRoom(Instant now, Effects effects) {
+    public void onCapacityAvailable(Instant now, Effects effects) {
         for (PoolId pool : List.copyOf(queues.keySet())) {
             dispatchQueued(pool, now, effects);
         }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/Node.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/Node.java
@@ -178,7 +178,7 @@
             case PeerMessage.GrantAsk ask -> grantOwner.onAsk(received.sender(), ask, now, effects);
             case PeerMessage.GrantReply reply -> {
                 grantHolder.onReply(received.sender(), reply, now, effects);
-                dispatcher.onRoom(now, effects);
+                dispatcher.onCapacityAvailable(now, effects);
             }
             case PeerMessage.Probe probe -> members.onPeerMessage(received.sender(), probe, now, effects);
             case PeerMessage.ProbeReply reply -> members.onPeerMessage(received.sender(), reply, now, effects);
