--- a/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/Dispatcher.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/Dispatcher.java
@@ -188,7 +188,7 @@
      * The caller has disconnected. A non-idempotent request that may have been sent continues; all others are
      * cancelled.
      */
-    public void onCallerLeft(RequestId id, Instant now, Effects effects) {
+    public void onCallerDisconnected(RequestId id, Instant now, Effects effects) {
         RequestFlow flow = flows.get(id);
         if (flow == null) {
             return;
--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/Node.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/Node.java
@@ -95,7 +95,7 @@
         switch (event) {
             case Event.Tick ignored -> onTick(now);
             case Event.RequestArrived arrived -> onRequest(arrived.request(), now);
-            case Event.CallerLeft left -> dispatcher.onCallerLeft(left.request(), now, effects);
+            case Event.CallerLeft left -> dispatcher.onCallerDisconnected(left.request(), now, effects);
             case Event.AttemptProgressed progressed -> dispatcher.onProgress(progressed.attempt(), now);
             case Event.AttemptEnded ended -> dispatcher.onEnded(ended.attempt(), ended.end(), now, effects);
             case Event.PeerMessageReceived received -> onPeerMessage(received, now);
--- a/wagtaillug-core/src/test/java/org/wagtaillug/dispatch/DispatcherTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/dispatch/DispatcherTest.java
@@ -86,7 +86,7 @@
         DispatcherHarness harness = new DispatcherHarness();
         harness.arrive("table", "booking").advance(10_001);
         assertThat(harness.refused()).isEmpty();
-        harness.dispatcher.onCallerLeft(new RequestId("table"), harness.now(), harness.effects);
+        harness.dispatcher.onCallerDisconnected(new RequestId("table"), harness.now(), harness.effects);
         harness.advance(1);
         assertThat(harness.refused().orElseThrow().refusal().run()).isEqualTo(RunState.UNKNOWN);
     }
