--- a/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/Dispatcher.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/Dispatcher.java
@@ -55,7 +55,7 @@
     private final Configuration configuration;
     private final Upstreams upstreams;
     private final RoutingPolicy policy;
-    private final OnceOnly claims;
+    private final KeyClaims claims;
     private final Drain drain;
     private final Admission admission;
     private final LatencyEstimates estimates;
@@ -84,7 +84,7 @@
             Configuration configuration,
             Upstreams upstreams,
             RoutingPolicy policy,
-            OnceOnly claims,
+            KeyClaims claims,
             Drain drain) {
         this.configuration = configuration;
         this.upstreams = upstreams;
--- a/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/OnceOnly.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/KeyClaims.java
@@ -9,7 +9,7 @@
 import org.wagtaillug.result.RunState;
 
 /** Acquires the claim of an idempotency key before a non-idempotent request is sent, and records its outcome. */
-public interface OnceOnly {
+public interface KeyClaims {
     /** Requests the claim; the result arrives later through one of the dispatcher's {@code onClaim...} methods. */
     void ask(RequestId request, IdempotencyKey key, String bodyDigest, Instant deadline, Instant now, Effects effects);
 
--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/ClaimsOnceOnly.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/ClaimsOnceOnly.java
@@ -2,7 +2,7 @@
 
 import java.time.Instant;
 import org.wagtaillug.claim.Claims;
-import org.wagtaillug.dispatch.OnceOnly;
+import org.wagtaillug.dispatch.KeyClaims;
 import org.wagtaillug.id.IdempotencyKey;
 import org.wagtaillug.id.RequestId;
 import org.wagtaillug.result.Payload;
@@ -10,21 +10,16 @@
 import org.wagtaillug.result.RunState;
 
 /** Adapter from the dispatcher's {@link OnceOnly} to {@link Claims}. */
-record ClaimsOnceOnly(Claims claims) implements OnceOnly {
-    @Override
-    public void ask(
-            RequestId request, IdempotencyKey key, String bodyDigest, Instant deadline, Instant now, Effects effects) {
-        claims.requestClaim(request, key, bodyDigest, deadline, now, effects);
-    }
+record ClaimsOnceOnly ( Claims claims ) implements KeyClaims {
+@Override public void ask ( RequestId request , IdempotencyKey key , String bodyDigest , Instant deadline , Instant now , Effects effects ) {
+claims.requestClaim ( request , key , bodyDigest , deadline , now , effects );
+}
 
-    @Override
-    public void settled(
-            RequestId request, ResultCode code, RunState run, Payload output, Instant now, Effects effects) {
-        claims.recordOutcome(request, code, run, output, now, effects);
-    }
+@Override public void settled ( RequestId request , ResultCode code , RunState run , Payload output , Instant now , Effects effects ) {
+claims.recordOutcome ( request , code , run , output , now , effects );
+}
 
-    @Override
-    public void abandon(RequestId request, Instant now, Effects effects) {
-        claims.abandon(request, now, effects);
-    }
+@Override public void abandon ( RequestId request , Instant now , Effects effects ) {
+claims.abandon ( request , now , effects );
+}
 }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/dispatch/DispatcherHarness.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/dispatch/DispatcherHarness.java
@@ -35,7 +35,7 @@
 import org.wagtaillug.routing.LeastCompletionPolicy;
 
 /** Drives a dispatcher step by step and records its inputs and effects as lines of text. */
-final class DispatcherHarness implements Configuration, OnceOnly {
+final class DispatcherHarness implements Configuration, KeyClaims {
     static final Instant START = Instant.parse("2026-12-01T08:00:00Z");
     static final Duration GRACE_PERIOD = Duration.ofSeconds(8);
 
