--- a/wagtaillug-core/src/main/java/org/wagtaillug/drain/Drain.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/drain/Drain.java
@@ -14,7 +14,7 @@
     /** The time that the balancer may take to stop sending requests. */
     public static final Duration BALANCER_DELAY = Duration.ofSeconds(2);
 
-    private final Grace grace;
+    private final GracePeriod grace;
     private boolean leaveReturned;
     private boolean finished;
 
@@ -38,7 +38,7 @@
      * @param grace the time from the shutdown request until the process is killed
      */
     public Drain(Duration grace) {
-        this.grace = new Grace(grace);
+        this.grace = new GracePeriod(grace);
     }
 
     /** Starts the shutdown; further calls have no effect. */
--- a/wagtaillug-core/src/main/java/org/wagtaillug/drain/Grace.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/drain/GracePeriod.java
@@ -11,7 +11,7 @@
  * <p>The time that a request needs is compared with the remaining time. Without that check, a node would accept
  * requests that are cut off at the end of the grace period, and their callers would see a closed connection.
  */
-public final class Grace {
+public final class GracePeriod {
     /** The time reserved for writing the last answers and closing the ports, at most. */
     private static final Duration MAX_EXIT_RESERVE = Duration.ofMillis(400);
 
@@ -26,7 +26,7 @@
      *
      * @param length the time from the shutdown request until the process is killed
      */
-    public Grace(Duration length) {
+    public GracePeriod(Duration length) {
         this.length = length;
     }
 
--- a/wagtaillug-core/src/test/java/org/wagtaillug/drain/GraceTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/drain/GracePeriodTest.java
@@ -6,18 +6,18 @@
 import java.time.Instant;
 import org.junit.jupiter.api.Test;
 
-class GraceTest {
+class GracePeriodTest {
     private static final Instant START = Instant.parse("2026-12-01T08:00:00Z");
 
     @Test
     void aLongGracePeriodReservesAFixedTimeAndAShortOneAnEighth() {
-        assertThat(Grace.toExit(Duration.ofSeconds(30))).isEqualTo(Duration.ofMillis(400));
-        assertThat(Grace.toExit(Duration.ofMillis(800))).isEqualTo(Duration.ofMillis(100));
+        assertThat(GracePeriod.toExit(Duration.ofSeconds(30))).isEqualTo(Duration.ofMillis(400));
+        assertThat(GracePeriod.toExit(Duration.ofMillis(800))).isEqualTo(Duration.ofMillis(100));
     }
 
     @Test
     void answersAreDueBeforeTheEndOfTheGracePeriod() {
-        Grace grace = new Grace(Duration.ofSeconds(8));
+        GracePeriod grace = new GracePeriod(Duration.ofSeconds(8));
         assertThat(grace.outOfTime(START)).isFalse();
         grace.start(START);
         assertThat(grace.outOfTime(START.plusMillis(7599))).isFalse();
@@ -31,7 +31,7 @@
      */
     @Test
     void nothingFitsAfterAnswersAreDue() {
-        Grace grace = new Grace(Duration.ofSeconds(8));
+        GracePeriod grace = new GracePeriod(Duration.ofSeconds(8));
         grace.start(START);
         assertThat(grace.enoughFor(Duration.ofMillis(-500), START.plusMillis(7600)))
                 .isTrue();
@@ -41,7 +41,7 @@
 
     @Test
     void startingTwiceHasNoEffect() {
-        Grace grace = new Grace(Duration.ofSeconds(8));
+        GracePeriod grace = new GracePeriod(Duration.ofSeconds(8));
         assertThat(grace.enoughFor(Duration.ofHours(1), START)).isTrue();
         grace.start(START);
         grace.start(START.plusSeconds(5));
--- a/wagtaillug-core/src/test/java/org/wagtaillug/node/NodeDrainTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/node/NodeDrainTest.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 import org.wagtaillug.dispatch.AttemptEnd;
-import org.wagtaillug.drain.Grace;
+import org.wagtaillug.drain.GracePeriod;
 import org.wagtaillug.id.AttemptId;
 import org.wagtaillug.id.RequestId;
 import org.wagtaillug.log.LogRecord.ClaimRecord;
@@ -24,7 +24,7 @@
 /** What callers observe while a node shuts down. */
 class NodeDrainTest {
     private static final Duration GRACE = Duration.ofSeconds(4);
-    private static final Duration LAST_ANSWER_AFTER = GRACE.minus(Grace.toExit(GRACE));
+    private static final Duration LAST_ANSWER_AFTER = GRACE.minus(GracePeriod.toExit(GRACE));
     private static final Duration LONG_DEADLINE = Duration.ofSeconds(60);
     private static final Duration SHORT_TIME = Duration.ofMillis(100);
 
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/Daemon.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/Daemon.java
@@ -28,7 +28,7 @@
 import org.wagtaillug.daemon.platform.PlatformClient;
 import org.wagtaillug.daemon.upstream.AttemptSender;
 import org.wagtaillug.dispatch.DispatchLimits;
-import org.wagtaillug.drain.Grace;
+import org.wagtaillug.drain.GracePeriod;
 import org.wagtaillug.id.NodeId;
 import org.wagtaillug.id.VmId;
 import org.wagtaillug.link.LinkCounters;
@@ -211,7 +211,7 @@
         LOGGER.log(Level.INFO, "node {0} drains", settings.node().vm());
         Duration grace = settings.shutdownGrace();
         askedToEnd();
-        Instant close = askedAt.get().plus(grace).minus(Grace.toExit(grace).dividedBy(2));
+        Instant close = askedAt.get().plus(grace).minus(GracePeriod.toExit(grace).dividedBy(2));
         callers.drain();
         control.submit(new Event.DrainStarted(askedAt.get()));
         boolean finished = runner.drained().await(untilMillis(close), TimeUnit.MILLISECONDS);
