--- a/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/Dispatcher.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/Dispatcher.java
@@ -141,7 +141,7 @@
             return;
         }
         flow.markAwaitingClaim();
-        claims.ask(request.id(), request.key().orElseThrow(), request.bodyDigest(), flow.deadline(), now, effects);
+        claims.requestClaim(request.id(), request.key().orElseThrow(), request.bodyDigest(), flow.deadline(), now, effects);
     }
 
     private double share(Request request) {
--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/ClaimsOnceOnly.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/ClaimsOnceOnly.java
@@ -9,9 +9,9 @@
 import org.wagtaillug.result.ResultCode;
 import org.wagtaillug.result.RunState;
 
-/** Adapter from the dispatcher's {@link OnceOnly} to {@link Claims}. */
+/** Adapter from the dispatcher's {@link KeyClaims} to {@link Claims}. */
 record ClaimsOnceOnly ( Claims claims ) implements KeyClaims {
-@Override public void ask ( RequestId request , IdempotencyKey key , String bodyDigest , Instant deadline , Instant now , Effects effects ) {
+@Override public void requestClaim ( RequestId request , IdempotencyKey key , String bodyDigest , Instant deadline , Instant now , Effects effects ) {
 claims.requestClaim ( request , key , bodyDigest , deadline , now , effects );
 }
 
--- a/wagtaillug-core/src/test/java/org/wagtaillug/dispatch/DispatcherHarness.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/dispatch/DispatcherHarness.java
@@ -217,7 +217,7 @@
     }
 
     @Override
-    public void ask(
+    public void requestClaim(
             RequestId request, IdempotencyKey key, String bodyDigest, Instant deadline, Instant at, Effects out) {
         lines.add("  < claim " + key.identity());
     }
