--- a/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/Dispatcher.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/Dispatcher.java
@@ -442,7 +442,7 @@
         }
         boolean unsentClaim = !flow.idempotent() && !flow.sent();
         Duration needed = unsentClaim ? flow.remainingTime(now) : Duration.ofNanos(estimates.remainingNanos(flow));
-        return !drain.enoughFor(needed, now);
+        return !drain.hasTimeFor(needed, now);
     }
 
     private void failForShutdown(RequestFlow flow, Instant now, Effects effects) {
--- a/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/RequestAdmission.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/RequestAdmission.java
@@ -86,7 +86,7 @@
         }
         RequestFlow flow = new RequestFlow(request, template.get(), terms, now);
         // The request may run until its deadline, and the process may have exited by then.
-        if (!drain.enoughFor(flow.remainingTime(now), now)) {
+        if (!drain.hasTimeFor(flow.remainingTime(now), now)) {
             return refuse(
                     flow,
                     ResultCode.SHUTTING_DOWN,
--- a/wagtaillug-core/src/main/java/org/wagtaillug/drain/Drain.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/drain/Drain.java
@@ -57,8 +57,8 @@
     }
 
     /** Whether work of the given duration would complete before the time for answers is over. */
-    public boolean enoughFor(Duration needed, Instant now) {
-        return !finished && grace.enoughFor(needed, now);
+    public boolean hasTimeFor(Duration needed, Instant now) {
+        return !finished && grace.hasTimeFor(needed, now);
     }
 
     /** Whether new requests must be refused. */
--- a/wagtaillug-core/src/main/java/org/wagtaillug/drain/GracePeriod.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/drain/GracePeriod.java
@@ -59,7 +59,7 @@
     }
 
     /** Whether work of the given duration would complete before the time for answers is over; always false after it. */
-    public boolean enoughFor(Duration needed, Instant now) {
+    public boolean hasTimeFor(Duration needed, Instant now) {
         Duration time = needed.isNegative() ? Duration.ZERO : needed;
         return startedAt.isEmpty() || !now.plus(time).isAfter(answersDue(startedAt.get()));
     }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/Shutdown.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/Shutdown.java
@@ -40,7 +40,7 @@
 
 /** Whether work of this duration completes before the final answers have to be given. */
 boolean enoughFor ( Duration needed , Instant now ) {
-return ! portsClosing && grace.enoughFor ( needed , now );
+return ! portsClosing && grace.hasTimeFor ( needed , now );
 }
 
 /** Whether open requests must get their final answers now. */
--- a/wagtaillug-core/src/test/java/org/wagtaillug/drain/DrainTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/drain/DrainTest.java
@@ -12,15 +12,15 @@
     @Test
     void theRemainingTimeCoversWorkThatCompletesBeforeAnswersAreDue() {
         Drain drain = new Drain(Duration.ofSeconds(8));
-        assertThat(drain.enoughFor(Duration.ofHours(1), START)).isTrue();
+        assertThat(drain.hasTimeFor(Duration.ofHours(1), START)).isTrue();
         drain.start(START);
-        assertThat(drain.enoughFor(Duration.ofMillis(7600), START)).isTrue();
-        assertThat(drain.enoughFor(Duration.ofMillis(7601), START)).isFalse();
+        assertThat(drain.hasTimeFor(Duration.ofMillis(7600), START)).isTrue();
+        assertThat(drain.hasTimeFor(Duration.ofMillis(7601), START)).isFalse();
         Instant idle = START.plus(Drain.BALANCER_DELAY);
         assertThat(drain.step(true, false, idle)).isEqualTo(Drain.Step.LEAVE);
-        assertThat(drain.enoughFor(Duration.ZERO, idle)).isTrue();
+        assertThat(drain.hasTimeFor(Duration.ZERO, idle)).isTrue();
         assertThat(drain.step(true, true, idle)).isEqualTo(Drain.Step.FINISHED);
-        assertThat(drain.enoughFor(Duration.ZERO, idle)).isFalse();
+        assertThat(drain.hasTimeFor(Duration.ZERO, idle)).isFalse();
     }
 
     @Test
--- a/wagtaillug-core/src/test/java/org/wagtaillug/drain/GracePeriodTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/drain/GracePeriodTest.java
@@ -33,22 +33,22 @@
     void nothingFitsAfterAnswersAreDue() {
         GracePeriod grace = new GracePeriod(Duration.ofSeconds(8));
         grace.start(START);
-        assertThat(grace.enoughFor(Duration.ofMillis(-500), START.plusMillis(7600)))
+        assertThat(grace.hasTimeFor(Duration.ofMillis(-500), START.plusMillis(7600)))
                 .isTrue();
-        assertThat(grace.enoughFor(Duration.ofMillis(-500), START.plusMillis(7601)))
+        assertThat(grace.hasTimeFor(Duration.ofMillis(-500), START.plusMillis(7601)))
                 .isFalse();
     }
 
     @Test
     void startingTwiceHasNoEffect() {
         GracePeriod grace = new GracePeriod(Duration.ofSeconds(8));
-        assertThat(grace.enoughFor(Duration.ofHours(1), START)).isTrue();
+        assertThat(grace.hasTimeFor(Duration.ofHours(1), START)).isTrue();
         grace.start(START);
         grace.start(START.plusSeconds(5));
         assertThat(grace.since(START.plusSeconds(6))).isEqualTo(Duration.ofSeconds(6));
-        assertThat(grace.enoughFor(Duration.ofMillis(1600), START.plusSeconds(6)))
+        assertThat(grace.hasTimeFor(Duration.ofMillis(1600), START.plusSeconds(6)))
                 .isTrue();
-        assertThat(grace.enoughFor(Duration.ofMillis(1601), START.plusSeconds(6)))
+        assertThat(grace.hasTimeFor(Duration.ofMillis(1601), START.plusSeconds(6)))
                 .isFalse();
     }
 }
