--- a/wagtaillug-core/src/main/java/org/wagtaillug/drain/GracePeriod.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/drain/GracePeriod.java
@@ -31,7 +31,7 @@
     }
 
     /** The share of a grace period that is reserved for writing the last answers and closing the ports. */
-    public static Duration toExit(Duration length) {
+    public static Duration exitReserve(Duration length) {
         Duration share = length.dividedBy(EXIT_RESERVE_DIVISOR);
         return share.compareTo(MAX_EXIT_RESERVE) < 0 ? share : MAX_EXIT_RESERVE;
     }
@@ -65,6 +65,6 @@
     }
 
     private Instant answersDue(Instant started) {
-        return started.plus(length).minus(toExit(length));
+        return started.plus(length).minus(exitReserve(length));
     }
 }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/drain/GracePeriodTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/drain/GracePeriodTest.java
@@ -11,8 +11,8 @@
 
     @Test
     void aLongGracePeriodReservesAFixedTimeAndAShortOneAnEighth() {
-        assertThat(GracePeriod.toExit(Duration.ofSeconds(30))).isEqualTo(Duration.ofMillis(400));
-        assertThat(GracePeriod.toExit(Duration.ofMillis(800))).isEqualTo(Duration.ofMillis(100));
+        assertThat(GracePeriod.exitReserve(Duration.ofSeconds(30))).isEqualTo(Duration.ofMillis(400));
+        assertThat(GracePeriod.exitReserve(Duration.ofMillis(800))).isEqualTo(Duration.ofMillis(100));
     }
 
     @Test
--- a/wagtaillug-core/src/test/java/org/wagtaillug/node/NodeDrainTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/node/NodeDrainTest.java
@@ -24,7 +24,7 @@
 /** What callers observe while a node shuts down. */
 class NodeDrainTest {
     private static final Duration GRACE = Duration.ofSeconds(4);
-    private static final Duration LAST_ANSWER_AFTER = GRACE.minus(GracePeriod.toExit(GRACE));
+    private static final Duration LAST_ANSWER_AFTER = GRACE.minus(GracePeriod.exitReserve(GRACE));
     private static final Duration LONG_DEADLINE = Duration.ofSeconds(60);
     private static final Duration SHORT_TIME = Duration.ofMillis(100);
 
