--- a/wagtaillug-core/src/main/java/org/wagtaillug/peer/Peers.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/peer/Peers.java
@@ -101,7 +101,7 @@
     }
 
     /** Sets the duties that this node depends on, by name. */
-    public void depend(Map<String, Duty> newDuties) {
+    public void setDuties(Map<String, Duty> newDuties) {
         duties = Map.copyOf(newDuties);
     }
 
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/PeerMembership.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/PeerMembership.java
@@ -92,7 +92,7 @@
         if (rolloutInProgress) {
             duties.put(ROLLOUT_DUTY, new Duty(roster.ranking(ROLLOUT_DUTY), 1, true));
         }
-        peers.depend(duties);
+        peers.setDuties(duties);
     }
 
     /** Processes a record of the membership feed. */
--- a/wagtaillug-core/src/test/java/org/wagtaillug/peer/PeersTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/peer/PeersTest.java
@@ -41,7 +41,7 @@
         Map<String, Duty> duties = new HashMap<>();
         DUTIES.forEach(duty -> duties.put(duty, Duty.of(roster.ranking(duty))));
         Peers peers = new Peers(id, List.of(), roster);
-        peers.depend(duties);
+        peers.setDuties(duties);
         nodes.put(id, peers);
     }
 
