--- a/wagtaillug-core/src/main/java/org/wagtaillug/peer/Peers.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/peer/Peers.java
@@ -64,7 +64,7 @@
     private final Map<VmId, Peer> peers = new HashMap<>();
     private final Map<VmId, Instant> watched = new HashMap<>();
     private Map<String, Duty> duties = Map.of();
-    private boolean settled;
+    private boolean allHoldersFound;
 
     private static final class Peer {
         private Instant lastHeartbeatAt = Instant.EPOCH;
@@ -214,7 +214,7 @@
         for (Duty duty : duties.values()) {
             allHoldersKnown &= addCandidates(duty, wanted, serving, now);
         }
-        settled |= allHoldersKnown;
+        allHoldersFound |= allHoldersKnown;
         if (!knownMembers) {
             wanted.addAll(seeds);
         }
@@ -261,8 +261,8 @@
     }
 
     /** Whether the holders of all duties have been known at some time since the start. */
-    public boolean settled() {
-        return settled;
+    public boolean allHoldersFound() {
+        return allHoldersFound;
     }
 
     /** The watched peers to which a heartbeat is due now. */
