--- a/wagtaillug-core/src/main/java/org/wagtaillug/feed/FeedReader.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/feed/FeedReader.java
@@ -100,7 +100,7 @@
     }
 
     /** The records from the current position are no longer retained, so the feed is listed again. */
-    public void onForgotten(Instant now) {
+    public void onTruncated(Instant now) {
         answered(now);
         resetListing(true);
         due = now;
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/FeedExchange.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/FeedExchange.java
@@ -159,7 +159,7 @@
     }
 
     void onForgotten(FeedName name, Instant now) {
-        readers.get(name).onForgotten(now);
+        readers.get(name).onTruncated(now);
     }
 
     /**
--- a/wagtaillug-core/src/test/java/org/wagtaillug/feed/FeedTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/feed/FeedTest.java
@@ -70,7 +70,7 @@
         reader.next(false, NOW);
         reader.onListed(List.of(record("a", 1)), false, 2, NOW);
         assertThat(reader.next(false, NOW)).contains(new FeedReader.Read.From(2, FeedName.CONFIGURATION.longestWait()));
-        reader.onForgotten(NOW);
+        reader.onTruncated(NOW);
         assertThat(reader.next(false, NOW)).contains(new FeedReader.Read.Newest(Optional.empty()));
         reader.onFailed(NOW);
         assertThat(reader.next(false, NOW)).isEmpty();
