--- a/wagtaillug-core/src/main/java/org/wagtaillug/feed/Feed.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/feed/Feed.java
@@ -17,7 +17,7 @@
 public final class Feed {
     private final Map<String, FeedRecord> latest = new HashMap<>();
     private long next;
-    private boolean whole;
+    private boolean complete;
 
     /**
      * Applies the result of a read.
@@ -33,9 +33,9 @@
                 changed.add(record);
             }
         }
-        if (batch.whole() && batch.next() >= next) {
+        if (batch.complete() && batch.next() >= next) {
             changed.addAll(removeUnlisted(batch));
-            whole = true;
+            complete = true;
         }
         next = Math.max(next, batch.next());
         changed.sort((one, other) -> Long.compare(one.offset(), other.offset()));
@@ -66,8 +66,8 @@
     }
 
     /** Whether all keys written before {@link #next} are known. */
-    public boolean whole() {
-        return whole;
+    public boolean complete() {
+        return complete;
     }
 
     /** The records that a peer is missing that has read up to an offset; all of them if it has read nothing. */
--- a/wagtaillug-core/src/test/java/org/wagtaillug/feed/FeedTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/feed/FeedTest.java
@@ -44,8 +44,8 @@
         Feed feed = new Feed();
         feed.apply(new FeedBatch(9, true, List.of(record("a", 2), record("b", 8))));
         assertThat(feed.after(5).records()).extracting(FeedRecord::key).containsExactly("b");
-        assertThat(feed.after(5).whole()).isFalse();
-        assertThat(feed.after(0).whole()).isTrue();
+        assertThat(feed.after(5).complete()).isFalse();
+        assertThat(feed.after(0).complete()).isTrue();
     }
 
     @Test
@@ -60,7 +60,7 @@
         assertThat(reader.next(false, NOW)).contains(new FeedReader.Read.Newest(Optional.of("a")));
         reader.onListed(List.of(record("b", 12)), false, 14, NOW);
         assertThat(reader.next(false, NOW)).contains(new FeedReader.Read.From(10, Duration.ZERO));
-        assertThat(feed.whole()).isTrue();
+        assertThat(feed.complete()).isTrue();
     }
 
     @Test
--- a/wagtaillug-link/src/main/java/org/wagtaillug/link/ServingCodec.java
+++ b/wagtaillug-link/src/main/java/org/wagtaillug/link/ServingCodec.java
@@ -172,7 +172,7 @@
         return FeedHelpMessage.newBuilder()
                 .setFeed(encode(help.feed()))
                 .setNext(help.batch().next())
-                .setWhole(help.batch().whole())
+                .setWhole(help.batch().complete())
                 .addAllRecords(encodeRecords(help.batch().records()))
                 .build();
     }
