--- a/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/StreamJoiner.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/StreamJoiner.java
@@ -74,7 +74,7 @@
      *
      * @param tokens the length of the complete output as reported by the attempt
      */
-    public boolean whole(int tokens) {
+    public boolean isComplete(int tokens) {
         return next == tokens && buffered.isEmpty();
     }
 }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/dispatch/StreamJoinerTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/dispatch/StreamJoinerTest.java
@@ -43,7 +43,7 @@
             expected.add(offset + ":t" + offset);
         }
         assertThat(emitted).isEqualTo(expected);
-        assertThat(joiner.whole(length)).isTrue();
-        assertThat(joiner.whole(length + 1)).isFalse();
+        assertThat(joiner.isComplete(length)).isTrue();
+        assertThat(joiner.isComplete(length + 1)).isFalse();
     }
 }
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/callers/CallerExchange.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/callers/CallerExchange.java
@@ -94,7 +94,7 @@
 
     /** Whether a stage's output is whole with so many tokens. */
     public synchronized boolean whole(StageId stage, int tokens) {
-        return stage(stage).joiner.whole(tokens);
+        return stage(stage).joiner.isComplete(tokens);
     }
 
     /** The output of a generating stage. */
