--- a/wagtaillug-core/src/main/java/org/wagtaillug/contract/Template.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/contract/Template.java
@@ -16,7 +16,7 @@
  * @param stages in order of execution; a single call has one stage, a pipeline three to six
  * @param deadline the maximum duration of a request if neither the caller nor the customer sets one; default 10 s
  * @param idempotent whether it is safe to run a request more than once; default true
- * @param worth the value of serving one request in time, relative to other requests, if the customer sets none; default 1
+ * @param worth the value of serving one request in time, if the customer sets none; default 1
  */
 public record Template(TemplateId id, List<Stage> stages, Duration deadline, boolean idempotent, double worth)
         implements Body {
--- a/wagtaillug-core/src/main/java/org/wagtaillug/feed/FeedBatch.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/feed/FeedBatch.java
@@ -6,7 +6,7 @@
  * The result of a read of a feed.
  *
  * @param next the offset from which to read next
- * @param complete whether {@code records} contains the latest record of every key, so that keys that it lacks have been
+ * @param complete whether {@code records} contains the latest record of every key, so that keys that it lacks were
  *     removed
  * @param records the records, in any order
  */
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/Daemon.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/Daemon.java
@@ -211,7 +211,8 @@
         LOGGER.log(Level.INFO, "node {0} drains", settings.node().vm());
         Duration grace = settings.shutdownGrace();
         askedToEnd();
-        Instant close = askedAt.get().plus(grace).minus(GracePeriod.exitReserve(grace).dividedBy(2));
+        Instant close =
+                askedAt.get().plus(grace).minus(GracePeriod.exitReserve(grace).dividedBy(2));
         callers.drain();
         control.submit(new Event.DrainStarted(askedAt.get()));
         boolean finished = runner.drained().await(untilMillis(close), TimeUnit.MILLISECONDS);
