--- a/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/Dispatcher.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/Dispatcher.java
@@ -141,7 +141,8 @@
             return;
         }
         flow.markAwaitingClaim();
-        claims.requestClaim(request.id(), request.key().orElseThrow(), request.bodyDigest(), flow.deadline(), now, effects);
+        claims.requestClaim(
+                request.id(), request.key().orElseThrow(), request.bodyDigest(), flow.deadline(), now, effects);
     }
 
     private double share(Request request) {
@@ -271,7 +272,7 @@
             return;
         }
         if (flow.claimed()) {
-            claims.settled(flow.request().id(), ResultCode.SERVED, RunState.RUN, output, now, effects);
+            claims.recordOutcome(flow.request().id(), ResultCode.SERVED, RunState.RUN, output, now, effects);
         }
         answerServed(flow, output, effects);
     }
@@ -280,7 +281,7 @@
         cancelLive(flow, effects);
         RunState run = flow.sent() ? RunState.UNKNOWN : RunState.NOT_RUN;
         if (flow.claimed()) {
-            claims.settled(flow.request().id(), ResultCode.UPSTREAM_REJECTED, run, Payload.EMPTY, now, effects);
+            claims.recordOutcome(flow.request().id(), ResultCode.UPSTREAM_REJECTED, run, Payload.EMPTY, now, effects);
         }
         answerRefused(flow, new Refusal(ResultCode.UPSTREAM_REJECTED, run, Duration.ZERO, message), effects);
     }
@@ -325,12 +326,12 @@
         RequestId id = flow.request().id();
         switch (end) {
             case AttemptEnd.Completed completed ->
-                claims.settled(id, ResultCode.SERVED, RunState.RUN, completed.output(), now, effects);
+                claims.recordOutcome(id, ResultCode.SERVED, RunState.RUN, completed.output(), now, effects);
             case AttemptEnd.Failed failed
             when failed.byteLeft() ->
-                claims.settled(id, ResultCode.OUTCOME_UNKNOWN, RunState.UNKNOWN, Payload.EMPTY, now, effects);
+                claims.recordOutcome(id, ResultCode.OUTCOME_UNKNOWN, RunState.UNKNOWN, Payload.EMPTY, now, effects);
             case AttemptEnd.Rejected ignored ->
-                claims.settled(id, ResultCode.UPSTREAM_REJECTED, RunState.NOT_RUN, Payload.EMPTY, now, effects);
+                claims.recordOutcome(id, ResultCode.UPSTREAM_REJECTED, RunState.NOT_RUN, Payload.EMPTY, now, effects);
             case AttemptEnd.Failed ignored -> claims.abandon(id, now, effects);
             case AttemptEnd.Overloaded ignored -> claims.abandon(id, now, effects);
             case AttemptEnd.NotStarted ignored -> claims.abandon(id, now, effects);
@@ -354,7 +355,7 @@
     private void closeClaim(RequestFlow flow, boolean mayHaveRun, Instant now, Effects effects) {
         RequestId id = flow.request().id();
         if (mayHaveRun) {
-            claims.settled(id, ResultCode.OUTCOME_UNKNOWN, RunState.UNKNOWN, Payload.EMPTY, now, effects);
+            claims.recordOutcome(id, ResultCode.OUTCOME_UNKNOWN, RunState.UNKNOWN, Payload.EMPTY, now, effects);
             return;
         }
         claims.abandon(id, now, effects);
--- a/wagtaillug-core/src/test/java/org/wagtaillug/dispatch/DispatcherHarness.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/dispatch/DispatcherHarness.java
@@ -223,7 +223,8 @@
     }
 
     @Override
-    public void settled(RequestId request, ResultCode code, RunState run, Payload output, Instant at, Effects out) {
+    public void recordOutcome(
+            RequestId request, ResultCode code, RunState run, Payload output, Instant at, Effects out) {
         lines.add("  < settle " + request + " " + code + " " + run.text());
     }
 
