--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/FeedExchange.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/FeedExchange.java
@@ -27,220 +27,228 @@
  * receives nothing for some time reads the store itself, so that no node depends on another one to learn of a change.
  */
 final class FeedExchange {
-/** A node whose own reads have not been answered for this long, and that is behind a peer, asks the peer. */
-private static final Duration STORE_READ_TIMEOUT = Duration.ofMillis ( 2500 );
-
-/** Minimum interval between two requests to peers for the same feed. */
-private static final Duration CATCH_UP_INTERVAL = Duration.ofMillis ( 300 );
-
-/** For this long after an outage of the store, expired entries do not mean that their writers are gone. */
-private static final Duration OUTAGE_HOLD = Duration.ofSeconds ( 3 );
-
-private final Peers peers;
-private final Consumer < ServingEffect > effects;
-private final RecordHandler handler;
-private final Map < FeedName , Feed > feeds = new EnumMap < > ( FeedName.class );
-private final Map < FeedName , FeedReader > readers = new EnumMap < > ( FeedName.class );
-private final Map < FeedName , Instant > catchUpDue = new EnumMap < > ( FeedName.class );
-private final Map < FeedName , Boolean > reachable = new EnumMap < > ( FeedName.class );
-private final Set < FeedName > active = EnumSet.complementOf ( EnumSet.of ( FeedName.ROLLOUTS ) );
-private boolean reader = true;
-
-/** Applies feed records. */
-interface RecordHandler {
-/**
+    /** A node whose own reads have not been answered for this long, and that is behind a peer, asks the peer. */
+    private static final Duration STORE_READ_TIMEOUT = Duration.ofMillis(2500);
+
+    /** Minimum interval between two requests to peers for the same feed. */
+    private static final Duration CATCH_UP_INTERVAL = Duration.ofMillis(300);
+
+    /** For this long after an outage of the store, expired entries do not mean that their writers are gone. */
+    private static final Duration OUTAGE_HOLD = Duration.ofSeconds(3);
+
+    private final Peers peers;
+    private final Consumer<ServingEffect> effects;
+    private final RecordHandler handler;
+    private final Map<FeedName, Feed> feeds = new EnumMap<>(FeedName.class);
+    private final Map<FeedName, FeedReader> readers = new EnumMap<>(FeedName.class);
+    private final Map<FeedName, Instant> catchUpDue = new EnumMap<>(FeedName.class);
+    private final Map<FeedName, Boolean> reachable = new EnumMap<>(FeedName.class);
+    private final Set<FeedName> active = EnumSet.complementOf(EnumSet.of(FeedName.ROLLOUTS));
+    private boolean reader = true;
+
+    /** Applies feed records. */
+    interface RecordHandler {
+        /**
          * Applies a newer record of a key.
          *
          * @param storeUnstable whether the store was unreachable shortly before
          * @return whether the record contains new information
          */
-boolean onRecord ( FeedName feed , FeedRecord record , boolean storeUnstable , Instant now );
-}
-
-FeedExchange ( Peers peers , Consumer < ServingEffect > effects , RecordHandler handler ) {
-this.peers = peers;
-this.effects = effects;
-this.handler = handler;
-for ( FeedName name : FeedName.values ( ) ) {
-Feed feed = new Feed ( );
-feeds.put ( name , feed );
-readers.put ( name , new FeedReader ( name , feed ) );
-catchUpDue.put ( name , Instant.EPOCH );
-}
-}
-
-/** Sets whether this node reads the store on behalf of others. */
-void setReader ( boolean reads ) {
-reader = reads;
-}
-
-/** Sets whether an optional feed is read. */
-void setActive ( FeedName name , boolean wanted ) {
-if ( wanted ) {
-active.add ( name );
-}
-else {
-active.remove ( name );
-}
-}
-
-/** Whether this node receives new records of a feed, from the store or from peers. */
-boolean fresh ( FeedName name , Instant now ) {
-return feeds.get ( name ).complete ( ) && ! readers.get ( name ).cutOff ( now , name.relayTimeout ( ) );
-}
-
-/** Returns the position after the last known record. */
-long position ( FeedName name ) {
-return position ( feeds.get ( name ) );
-}
-
-/** Whether all records up to the position of a feed are known. */
-boolean complete ( FeedName name ) {
-return feeds.get ( name ).complete ( );
-}
-
-/** The position of each feed; 0 for a feed with unknown earlier records. */
-Map < FeedName , Long > positions ( ) {
-Map < FeedName , Long > positions = new EnumMap < > ( FeedName.class );
-feeds.forEach ( ( name , feed ) -> positions.put ( name , position ( feed ) ) );
-return positions;
-}
-
-private static long position ( Feed feed ) {
-return feed.complete ( ) ? feed.next ( ) : 0;
-}
-
-/** Whether this node needs the feed updates of its peers. */
-boolean follows ( Instant now ) {
-for ( FeedName name : active ) {
-if ( ! reader || readers.get ( name ).cutOff ( now , STORE_READ_TIMEOUT ) ) {
-return true;
-}
-}
-return false;
-}
-
-/** Whether this node's latest read of any active feed has failed. */
-boolean storeLost ( ) {
-for ( FeedName name : active ) {
-if ( readers.get ( name ).failing ( ) ) {
-return true;
-}
-}
-return false;
-}
-
-void onListed ( ServingEvent.FeedListed listed , Instant now ) {
-onReadSucceeded ( listed.feed ( ) );
-apply ( listed.feed ( ) , readers.get ( listed.feed ( ) ).onListed ( listed.records ( ) , listed.more ( ) , listed.end ( ) , now ) , recentlyFailing ( listed.feed ( ) , now ) , now );
-}
-
-void onRead ( ServingEvent.FeedRead read , Instant now ) {
-FeedName name = read.feed ( );
-onReadSucceeded ( name );
-long from = feeds.get ( name ).next ( );
-boolean recentlyFailing = recentlyFailing ( name , now );
-List < FeedRecord > changes = apply ( name , readers.get ( name ).onRecords ( read.batch ( ) , now ) , recentlyFailing , now );
-if ( reader && feeds.get ( name ).complete ( ) ) {
-relay ( new ServingMessage.FeedUpdate ( name , from , new FeedBatch ( feeds.get ( name ).next ( ) , false , changes ) , recentlyFailing ) , now );
-}
-}
-
-private void relay ( ServingMessage.FeedUpdate update , Instant now ) {
-for ( VmId follower : peers.followers ( now ) ) {
-effects.accept ( new ServingEffect.SendToPeer ( follower , update ) );
-}
-}
-
-void onForgotten ( FeedName name , Instant now ) {
-readers.get ( name ).onTruncated ( now );
-}
-
-/**
+        boolean onRecord(FeedName feed, FeedRecord record, boolean storeUnstable, Instant now);
+    }
+
+    FeedExchange(Peers peers, Consumer<ServingEffect> effects, RecordHandler handler) {
+        this.peers = peers;
+        this.effects = effects;
+        this.handler = handler;
+        for (FeedName name : FeedName.values()) {
+            Feed feed = new Feed();
+            feeds.put(name, feed);
+            readers.put(name, new FeedReader(name, feed));
+            catchUpDue.put(name, Instant.EPOCH);
+        }
+    }
+
+    /** Sets whether this node reads the store on behalf of others. */
+    void setReader(boolean reads) {
+        reader = reads;
+    }
+
+    /** Sets whether an optional feed is read. */
+    void setActive(FeedName name, boolean wanted) {
+        if (wanted) {
+            active.add(name);
+        } else {
+            active.remove(name);
+        }
+    }
+
+    /** Whether this node receives new records of a feed, from the store or from peers. */
+    boolean fresh(FeedName name, Instant now) {
+        return feeds.get(name).complete() && !readers.get(name).cutOff(now, name.relayTimeout());
+    }
+
+    /** Returns the position after the last known record. */
+    long position(FeedName name) {
+        return position(feeds.get(name));
+    }
+
+    /** Whether all records up to the position of a feed are known. */
+    boolean complete(FeedName name) {
+        return feeds.get(name).complete();
+    }
+
+    /** The position of each feed; 0 for a feed with unknown earlier records. */
+    Map<FeedName, Long> positions() {
+        Map<FeedName, Long> positions = new EnumMap<>(FeedName.class);
+        feeds.forEach((name, feed) -> positions.put(name, position(feed)));
+        return positions;
+    }
+
+    private static long position(Feed feed) {
+        return feed.complete() ? feed.next() : 0;
+    }
+
+    /** Whether this node needs the feed updates of its peers. */
+    boolean follows(Instant now) {
+        for (FeedName name : active) {
+            if (!reader || readers.get(name).cutOff(now, STORE_READ_TIMEOUT)) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    /** Whether this node's latest read of any active feed has failed. */
+    boolean storeLost() {
+        for (FeedName name : active) {
+            if (readers.get(name).failing()) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    void onListed(ServingEvent.FeedListed listed, Instant now) {
+        onReadSucceeded(listed.feed());
+        apply(
+                listed.feed(),
+                readers.get(listed.feed()).onListed(listed.records(), listed.more(), listed.end(), now),
+                recentlyFailing(listed.feed(), now),
+                now);
+    }
+
+    void onRead(ServingEvent.FeedRead read, Instant now) {
+        FeedName name = read.feed();
+        onReadSucceeded(name);
+        long from = feeds.get(name).next();
+        boolean recentlyFailing = recentlyFailing(name, now);
+        List<FeedRecord> changes = apply(name, readers.get(name).onRecords(read.batch(), now), recentlyFailing, now);
+        if (reader && feeds.get(name).complete()) {
+            relay(
+                    new ServingMessage.FeedUpdate(
+                            name, from, new FeedBatch(feeds.get(name).next(), false, changes), recentlyFailing),
+                    now);
+        }
+    }
+
+    private void relay(ServingMessage.FeedUpdate update, Instant now) {
+        for (VmId follower : peers.followers(now)) {
+            effects.accept(new ServingEffect.SendToPeer(follower, update));
+        }
+    }
+
+    void onForgotten(FeedName name, Instant now) {
+        readers.get(name).onTruncated(now);
+    }
+
+    /**
      * Records a read that was not answered or was refused.
      *
      * @return whether it is the first one after successful reads
      */
-boolean onFailed ( ServingEvent.FeedFailed failed , Instant now ) {
-boolean first = ! storeLost ( );
-readers.get ( failed.feed ( ) ).onFailed ( now );
-if ( ! Boolean.FALSE.equals ( reachable.put ( failed.feed ( ) , false ) ) ) {
-log ( Decision.builder ( "store_lost" ).field ( "feed" , failed.feed ( ) ).field ( "reason" , failed.reason ( ) ) );
-}
-return first;
-}
-
-private void onReadSucceeded ( FeedName name ) {
-if ( ! Boolean.TRUE.equals ( reachable.put ( name , true ) ) ) {
-log ( Decision.builder ( "store_regained" ).field ( "feed" , name ) );
-}
-}
-
-/** Applies records that a peer has read and relayed. */
-void onUpdate ( VmId sender , ServingMessage.FeedUpdate update , Instant now ) {
-Feed feed = feeds.get ( update.feed ( ) );
-if ( ! feed.complete ( ) ) {
-return;
-}
-if ( update.from ( ) > feed.next ( ) ) {
-effects.accept ( new ServingEffect.SendToPeer ( sender , new ServingMessage.FeedAsk ( update.feed ( ) , feed.next ( ) ) ) );
-return;
-}
-readers.get ( update.feed ( ) ).onRelayed ( now );
-boolean recentlyFailing = update.storeUnstable ( ) || recentlyFailing ( update.feed ( ) , now );
-apply ( update.feed ( ) , feed.apply ( update.batch ( ) ) , recentlyFailing , now );
-}
-
-void onHelp ( ServingMessage.FeedHelp help , Instant now ) {
-apply ( help.feed ( ) , feeds.get ( help.feed ( ) ).apply ( help.batch ( ) ) , recentlyFailing ( help.feed ( ) , now ) , now );
-}
-
-void onAsk ( VmId sender , ServingMessage.FeedAsk ask ) {
-Feed feed = feeds.get ( ask.feed ( ) );
-if ( feed.complete ( ) && feed.next ( ) > ask.from ( ) ) {
-effects.accept ( new ServingEffect.SendToPeer ( sender , new ServingMessage.FeedHelp ( ask.feed ( ) , feed.after ( ask.from ( ) ) ) ) );
-}
-}
-
-private boolean recentlyFailing ( FeedName name , Instant now ) {
-return readers.get ( name ).failedWithin ( now , OUTAGE_HOLD );
-}
-
-private List < FeedRecord > apply ( FeedName name , List < FeedRecord > changed , boolean recentlyFailing , Instant now ) {
-List < FeedRecord > changes = new ArrayList < > ( );
-for ( FeedRecord record : changed ) {
-if ( handler.onRecord ( name , record , recentlyFailing , now ) ) {
-changes.add ( record );
-}
-}
-return changes;
-}
-
-/** Requests records from peers while this node cannot read the store. */
-void catchUp ( Instant now ) {
-for ( FeedName name : active ) {
-long position = position ( feeds.get ( name ) );
-boolean cutOff = readers.get ( name ).cutOff ( now , STORE_READ_TIMEOUT );
-if ( ! cutOff || now.isBefore ( catchUpDue.get ( name ) ) ) {
-continue;
-}
-Optional < VmId > peer = peers.ahead ( name , position , now );
-if ( peer.isPresent ( ) ) {
-catchUpDue.put ( name , now.plus ( CATCH_UP_INTERVAL ) );
-effects.accept ( new ServingEffect.SendToPeer ( peer.get ( ) , new ServingMessage.FeedAsk ( name , position ) ) );
-}
-}
-}
-
-/** Starts the reads that are due. */
-void read ( Instant now ) {
-for ( FeedName name : active ) {
-Optional < FeedReader.Read > read = readers.get ( name ).next ( ! reader , now );
-read.ifPresent ( wanted -> effects.accept ( new ServingEffect.ReadFeed ( name , wanted ) ) );
-}
-}
-
-private void log ( Decision.Builder decision ) {
-effects.accept ( new ServingEffect.LogDecision ( decision.build ( ) ) );
-}
+    boolean onFailed(ServingEvent.FeedFailed failed, Instant now) {
+        boolean first = !storeLost();
+        readers.get(failed.feed()).onFailed(now);
+        if (!Boolean.FALSE.equals(reachable.put(failed.feed(), false))) {
+            log(Decision.builder("store_lost").field("feed", failed.feed()).field("reason", failed.reason()));
+        }
+        return first;
+    }
+
+    private void onReadSucceeded(FeedName name) {
+        if (!Boolean.TRUE.equals(reachable.put(name, true))) {
+            log(Decision.builder("store_regained").field("feed", name));
+        }
+    }
+
+    /** Applies records that a peer has read and relayed. */
+    void onUpdate(VmId sender, ServingMessage.FeedUpdate update, Instant now) {
+        Feed feed = feeds.get(update.feed());
+        if (!feed.complete()) {
+            return;
+        }
+        if (update.from() > feed.next()) {
+            effects.accept(
+                    new ServingEffect.SendToPeer(sender, new ServingMessage.FeedAsk(update.feed(), feed.next())));
+            return;
+        }
+        readers.get(update.feed()).onRelayed(now);
+        boolean recentlyFailing = update.storeUnstable() || recentlyFailing(update.feed(), now);
+        apply(update.feed(), feed.apply(update.batch()), recentlyFailing, now);
+    }
+
+    void onHelp(ServingMessage.FeedHelp help, Instant now) {
+        apply(help.feed(), feeds.get(help.feed()).apply(help.batch()), recentlyFailing(help.feed(), now), now);
+    }
+
+    void onAsk(VmId sender, ServingMessage.FeedAsk ask) {
+        Feed feed = feeds.get(ask.feed());
+        if (feed.complete() && feed.next() > ask.from()) {
+            effects.accept(new ServingEffect.SendToPeer(
+                    sender, new ServingMessage.FeedHelp(ask.feed(), feed.after(ask.from()))));
+        }
+    }
+
+    private boolean recentlyFailing(FeedName name, Instant now) {
+        return readers.get(name).failedWithin(now, OUTAGE_HOLD);
+    }
+
+    private List<FeedRecord> apply(FeedName name, List<FeedRecord> changed, boolean recentlyFailing, Instant now) {
+        List<FeedRecord> changes = new ArrayList<>();
+        for (FeedRecord record : changed) {
+            if (handler.onRecord(name, record, recentlyFailing, now)) {
+                changes.add(record);
+            }
+        }
+        return changes;
+    }
+
+    /** Requests records from peers while this node cannot read the store. */
+    void catchUp(Instant now) {
+        for (FeedName name : active) {
+            long position = position(feeds.get(name));
+            boolean cutOff = readers.get(name).cutOff(now, STORE_READ_TIMEOUT);
+            if (!cutOff || now.isBefore(catchUpDue.get(name))) {
+                continue;
+            }
+            Optional<VmId> peer = peers.ahead(name, position, now);
+            if (peer.isPresent()) {
+                catchUpDue.put(name, now.plus(CATCH_UP_INTERVAL));
+                effects.accept(new ServingEffect.SendToPeer(peer.get(), new ServingMessage.FeedAsk(name, position)));
+            }
+        }
+    }
+
+    /** Starts the reads that are due. */
+    void read(Instant now) {
+        for (FeedName name : active) {
+            Optional<FeedReader.Read> read = readers.get(name).next(!reader, now);
+            read.ifPresent(wanted -> effects.accept(new ServingEffect.ReadFeed(name, wanted)));
+        }
+    }
+
+    private void log(Decision.Builder decision) {
+        effects.accept(new ServingEffect.LogDecision(decision.build()));
+    }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/Serving.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/Serving.java
@@ -33,286 +33,331 @@
  * }</pre>
  */
 public final class Serving {
-/**
+    /**
      * Tick interval while this node schedules batches; releases, full servers and overdue items are handled on ticks.
      */
-private static final Duration SCHEDULING_TICK = Duration.ofMillis ( 20 );
+    private static final Duration SCHEDULING_TICK = Duration.ofMillis(20);
 
-/** Tick interval while requests, or the startup of the node itself, wait for a timer. */
-private static final Duration REQUEST_TICK = Duration.ofMillis ( 50 );
+    /** Tick interval while requests, or the startup of the node itself, wait for a timer. */
+    private static final Duration REQUEST_TICK = Duration.ofMillis(50);
 
-/** Tick interval otherwise. Heartbeats, feed reads and deadlines of open streams tolerate this delay. */
-private static final Duration IDLE_TICK = Duration.ofMillis ( 200 );
+    /** Tick interval otherwise. Heartbeats, feed reads and deadlines of open streams tolerate this delay. */
+    private static final Duration IDLE_TICK = Duration.ofMillis(200);
 
-/**
+    /**
      * Minimum interval between two runs of heartbeats, peer monitoring and feed maintenance, however short the ticks
      * are.
      */
-private static final Duration HOUSEKEEPING_INTERVAL = Duration.ofMillis ( 100 );
+    private static final Duration HOUSEKEEPING_INTERVAL = Duration.ofMillis(100);
 
-private final ServingSetup setup;
-private final List < ServingEffect > effects = new ArrayList < > ( );
-private final UpstreamDirectory directory = new UpstreamDirectory ( );
-private final UpstreamHealth health = new UpstreamHealth ( );
-private final Peers peers;
-private final PeerMembership membership;
-private final FeedExchange feeds;
-private final RolloutExchange rollouts;
-private final StepOrders orders;
-private final RequestFlows flows;
-private final Shutdown shutdown;
-private Optional < ServingConfiguration > configuration = Optional.empty ( );
-private Optional < Boolean > reportedReady = Optional.empty ( );
-private Instant currentTime = Instant.EPOCH;
-private Instant housekeepingDue = Instant.EPOCH;
+    private final ServingSetup setup;
+    private final List<ServingEffect> effects = new ArrayList<>();
+    private final UpstreamDirectory directory = new UpstreamDirectory();
+    private final UpstreamHealth health = new UpstreamHealth();
+    private final Peers peers;
+    private final PeerMembership membership;
+    private final FeedExchange feeds;
+    private final RolloutExchange rollouts;
+    private final StepOrders orders;
+    private final RequestFlows flows;
+    private final Shutdown shutdown;
+    private Optional<ServingConfiguration> configuration = Optional.empty();
+    private Optional<Boolean> reportedReady = Optional.empty();
+    private Instant currentTime = Instant.EPOCH;
+    private Instant housekeepingDue = Instant.EPOCH;
 
-/** Creates a node that has read no feed yet. */
-public Serving ( ServingSetup setup ) {
-this.setup = setup;
-Roster roster = new Roster ( setup.self ( ).vm ( ) );
-peers = new Peers ( setup.self ( ).vm ( ) , setup.seeds ( ) , roster );
-shutdown = new Shutdown ( setup.drainGrace ( ) );
-membership = new PeerMembership ( setup , roster , peers , effects :: add , ( ) -> ! shutdown.started ( ) );
-feeds = new FeedExchange ( peers , effects :: add , this :: onFeedRecord );
-rollouts = new RolloutExchange ( setup , directory , effects :: add );
-orders = new StepOrders ( setup , peers , directory , rollouts.callGate ( ) , effects :: add , ( ) -> ! shutdown.started ( ) );
-flows = new RequestFlows ( setup , directory , health , roster , orders , rollouts , shutdown , effects :: add );
-orders.onAnswer ( answer -> flows.onStepAnswer ( answer , currentTime ) );
-}
+    /** Creates a node that has read no feed yet. */
+    public Serving(ServingSetup setup) {
+        this.setup = setup;
+        Roster roster = new Roster(setup.self().vm());
+        peers = new Peers(setup.self().vm(), setup.seeds(), roster);
+        shutdown = new Shutdown(setup.drainGrace());
+        membership = new PeerMembership(setup, roster, peers, effects::add, () -> !shutdown.started());
+        feeds = new FeedExchange(peers, effects::add, this::onFeedRecord);
+        rollouts = new RolloutExchange(setup, directory, effects::add);
+        orders = new StepOrders(setup, peers, directory, rollouts.callGate(), effects::add, () -> !shutdown.started());
+        flows = new RequestFlows(setup, directory, health, roster, orders, rollouts, shutdown, effects::add);
+        orders.onAnswer(answer -> flows.onStepAnswer(answer, currentTime));
+    }
 
-/** Processes one event and returns the resulting effects, in the order in which they must be carried out. */
-public List < ServingEffect > handle ( ServingEvent event , Instant now ) {
-currentTime = now;
-switch ( event ) {
-case ServingEvent.Tick ignored -> onTick ( now );
-case ServingEvent.RequestArrived arrived -> onRequest ( arrived.request ( ) , now );
-case ServingEvent.CallerLeft left -> flows.onCallerLeft ( left.request ( ) , now );
-case ServingEvent.AnswerStarted started -> flows.onAnswerStarted ( started.request ( ) , started.attempt ( ) , now );
-case ServingEvent.SendEnded ended -> flows.onSendEnded ( ended.request ( ) , ended.attempt ( ) , ended.end ( ) , now );
-case ServingEvent.BatchCallEnded ended -> orders.scheduler ( ).onCallEnded ( ended.call ( ) , ended.end ( ) , now );
-case ServingEvent.ReleaseEnded ended -> orders.scheduler ( ).onReleaseEnded ( ended.release ( ) , ended.done ( ) );
-case ServingEvent.PeerMessageReceived received -> onPeerMessage ( received.sender ( ) , received.message ( ) , now );
-case ServingEvent.PeerConnected connected -> {
-peers.onConnected ( connected.peer ( ) , now );
-effects.add ( new ServingEffect.SendToPeer ( connected.peer ( ) , heartbeat ( false , now ) ) );
-}
-case ServingEvent.PeerDisconnected disconnected -> peers.onDisconnected ( disconnected.peer ( ) , now );
-case ServingEvent.FeedListed listed -> feeds.onListed ( listed , now );
-case ServingEvent.FeedRead read -> feeds.onRead ( read , now );
-case ServingEvent.FeedForgotten forgotten -> feeds.onForgotten ( forgotten.feed ( ) , now );
-case ServingEvent.FeedFailed failed -> {
-if ( feeds.onFailed ( failed , now ) ) {
-membership.notifyFollowers ( heartbeat ( true , now ) , now );
-}
-}
-case ServingEvent.RecordWritten written -> membership.onRecordWritten ( written , now );
-case ServingEvent.DrainStarted started -> onDrainStarted ( started.askedAt ( ) , now );
-case ServingEvent.PortsClosing ignored -> shutdown.closePorts ( );
-}
-feeds.setActive ( FeedName.ROLLOUTS , rollouts.inProgress ( ) );
-feeds.read ( now );
-reportReadiness ( );
-List < ServingEffect > result = List.copyOf ( effects );
-effects.clear ( );
-return result;
-}
+    /** Processes one event and returns the resulting effects, in the order in which they must be carried out. */
+    public List<ServingEffect> handle(ServingEvent event, Instant now) {
+        currentTime = now;
+        switch (event) {
+            case ServingEvent.Tick ignored -> onTick(now);
+            case ServingEvent.RequestArrived arrived -> onRequest(arrived.request(), now);
+            case ServingEvent.CallerLeft left -> flows.onCallerLeft(left.request(), now);
+            case ServingEvent.AnswerStarted started -> flows.onAnswerStarted(started.request(), started.attempt(), now);
+            case ServingEvent.SendEnded ended -> flows.onSendEnded(ended.request(), ended.attempt(), ended.end(), now);
+            case ServingEvent.BatchCallEnded ended -> orders.scheduler().onCallEnded(ended.call(), ended.end(), now);
+            case ServingEvent.ReleaseEnded ended -> orders.scheduler().onReleaseEnded(ended.release(), ended.done());
+            case ServingEvent.PeerMessageReceived received -> onPeerMessage(received.sender(), received.message(), now);
+            case ServingEvent.PeerConnected connected -> {
+                peers.onConnected(connected.peer(), now);
+                effects.add(new ServingEffect.SendToPeer(connected.peer(), heartbeat(false, now)));
+            }
+            case ServingEvent.PeerDisconnected disconnected -> peers.onDisconnected(disconnected.peer(), now);
+            case ServingEvent.FeedListed listed -> feeds.onListed(listed, now);
+            case ServingEvent.FeedRead read -> feeds.onRead(read, now);
+            case ServingEvent.FeedForgotten forgotten -> feeds.onForgotten(forgotten.feed(), now);
+            case ServingEvent.FeedFailed failed -> {
+                if (feeds.onFailed(failed, now)) {
+                    membership.notifyFollowers(heartbeat(true, now), now);
+                }
+            }
+            case ServingEvent.RecordWritten written -> membership.onRecordWritten(written, now);
+            case ServingEvent.DrainStarted started -> onDrainStarted(started.askedAt(), now);
+            case ServingEvent.PortsClosing ignored -> shutdown.closePorts();
+        }
+        feeds.setActive(FeedName.ROLLOUTS, rollouts.inProgress());
+        feeds.read(now);
+        reportReadiness();
+        List<ServingEffect> result = List.copyOf(effects);
+        effects.clear();
+        return result;
+    }
 
-private void onTick ( Instant now ) {
-if ( ! now.isBefore ( housekeepingDue ) ) {
-housekeepingDue = now.plus ( HOUSEKEEPING_INTERVAL );
-runHousekeeping ( now );
-}
-flows.onTick ( now );
-if ( shutdown.started ( ) ) {
-advanceShutdown ( now );
-}
-orders.onTick ( now );
-if ( shutdown.pollFinished ( flows.idle ( ) && orders.idle ( ) , now ) ) {
-log ( Decision.builder ( "shutdown_ends" ).field ( "since_signal_ms" , shutdown.since ( now ).toMillis ( ) ).field ( "reason" , shutdown.outOfTime ( now ) ? "grace period elapsed" : "all requests answered" ).field ( "orders" , orders.size ( ) ) );
-effects.add ( new ServingEffect.DrainFinished ( ) );
-}
-}
+    private void onTick(Instant now) {
+        if (!now.isBefore(housekeepingDue)) {
+            housekeepingDue = now.plus(HOUSEKEEPING_INTERVAL);
+            runHousekeeping(now);
+        }
+        flows.onTick(now);
+        if (shutdown.started()) {
+            advanceShutdown(now);
+        }
+        orders.onTick(now);
+        if (shutdown.pollFinished(flows.idle() && orders.idle(), now)) {
+            log(Decision.builder("shutdown_ends")
+                    .field("since_signal_ms", shutdown.since(now).toMillis())
+                    .field("reason", shutdown.outOfTime(now) ? "grace period elapsed" : "all requests answered")
+                    .field("orders", orders.size()));
+            effects.add(new ServingEffect.DrainFinished());
+        }
+    }
 
-private void runHousekeeping ( Instant now ) {
-for ( VmId expired : directory.onTick ( now ) ) {
-log ( Decision.builder ( "upstream_lapsed" ).field ( "upstream" , expired ) );
-}
-membership.onTick ( feeds.complete ( FeedName.MEMBERSHIP ) , orders.partners ( ) , reply -> heartbeat ( reply , now ) , now );
-feeds.setReader ( membership.readsStore ( now ) );
-onRolloutTick ( now );
-feeds.catchUp ( now );
-}
+    private void runHousekeeping(Instant now) {
+        for (VmId expired : directory.onTick(now)) {
+            log(Decision.builder("upstream_lapsed").field("upstream", expired));
+        }
+        membership.onTick(feeds.complete(FeedName.MEMBERSHIP), orders.partners(), reply -> heartbeat(reply, now), now);
+        feeds.setReader(membership.readsStore(now));
+        onRolloutTick(now);
+        feeds.catchUp(now);
+    }
 
-private void onRolloutTick ( Instant now ) {
-boolean inProgress = rollouts.inProgress ( );
-membership.setRolloutInProgress ( inProgress );
-if ( inProgress ) {
-rollouts.onTick ( membership.rolloutCoordinator ( now ) , feeds.fresh ( FeedName.ROLLOUTS , now ) , feeds.position ( FeedName.ROLLOUTS ) , now );
-}
-}
+    private void onRolloutTick(Instant now) {
+        boolean inProgress = rollouts.inProgress();
+        membership.setRolloutInProgress(inProgress);
+        if (inProgress) {
+            rollouts.onTick(
+                    membership.rolloutCoordinator(now),
+                    feeds.fresh(FeedName.ROLLOUTS, now),
+                    feeds.position(FeedName.ROLLOUTS),
+                    now);
+        }
+    }
 
-private void advanceShutdown ( Instant now ) {
-if ( shutdown.pollReadinessPropagated ( now ) ) {
-effects.add ( new ServingEffect.CloseIdleConnections ( ) );
-}
-flows.refuseUnanswerable ( now );
-if ( shutdown.outOfTime ( now ) ) {
-flows.failAll ( now );
-// Unreleased results would occupy room at their stage servers, for all nodes, until their lifetime ends.
-orders.scheduler ( ).releaseAtOnce ( );
-}
-}
+    private void advanceShutdown(Instant now) {
+        if (shutdown.pollReadinessPropagated(now)) {
+            effects.add(new ServingEffect.CloseIdleConnections());
+        }
+        flows.refuseUnanswerable(now);
+        if (shutdown.outOfTime(now)) {
+            flows.failAll(now);
+            // Unreleased results would occupy room at their stage servers, for all nodes, until their lifetime ends.
+            orders.scheduler().releaseAtOnce();
+        }
+    }
 
-private void onDrainStarted ( Instant askedAt , Instant now ) {
-shutdown.start ( askedAt );
-log ( Decision.builder ( "shutdown_begins" ).field ( "since_signal_ms" , shutdown.since ( now ).toMillis ( ) ).field ( "grace_ms" , setup.drainGrace ( ).toMillis ( ) ).field ( "requests" , flows.size ( ) ).field ( "orders" , orders.size ( ) ) );
-}
+    private void onDrainStarted(Instant askedAt, Instant now) {
+        shutdown.start(askedAt);
+        log(Decision.builder("shutdown_begins")
+                .field("since_signal_ms", shutdown.since(now).toMillis())
+                .field("grace_ms", setup.drainGrace().toMillis())
+                .field("requests", flows.size())
+                .field("orders", orders.size()));
+    }
 
-private void onRequest ( RoutedRequest request , Instant now ) {
-if ( configuration.isEmpty ( ) ) {
-// Without a configuration, an unknown path cannot be told from a route that has not been read yet.
-String message = "node has not read its configuration yet, retry on another node";
-effects.add ( new ServingEffect.Refuse ( request.id ( ) , Refusal.notRun ( ResultCode.NOT_READY , RequestFlows.DEFAULT_RETRY_AFTER , message ) ) );
-effects.add ( new ServingEffect.Finished ( request.id ( ) , RequestFlows.NO_ROUTE , ServingEffect.Outcome.REFUSED , Duration.ZERO ) );
-return;
-}
-flows.onRequest ( request , now );
-}
+    private void onRequest(RoutedRequest request, Instant now) {
+        if (configuration.isEmpty()) {
+            // Without a configuration, an unknown path cannot be told from a route that has not been read yet.
+            String message = "node has not read its configuration yet, retry on another node";
+            effects.add(new ServingEffect.Refuse(
+                    request.id(), Refusal.notRun(ResultCode.NOT_READY, RequestFlows.DEFAULT_RETRY_AFTER, message)));
+            effects.add(new ServingEffect.Finished(
+                    request.id(), RequestFlows.NO_ROUTE, ServingEffect.Outcome.REFUSED, Duration.ZERO));
+            return;
+        }
+        flows.onRequest(request, now);
+    }
 
-private ServingMessage.Heartbeat heartbeat ( boolean reply , Instant now ) {
-return new ServingMessage.Heartbeat ( reply , ! shutdown.started ( ) , feeds.follows ( now ) , feeds.storeLost ( ) , feeds.positions ( ) , orders.scheduler ( ).waits ( now ) );
-}
+    private ServingMessage.Heartbeat heartbeat(boolean reply, Instant now) {
+        return new ServingMessage.Heartbeat(
+                reply,
+                !shutdown.started(),
+                feeds.follows(now),
+                feeds.storeLost(),
+                feeds.positions(),
+                orders.scheduler().waits(now));
+    }
 
-private void onPeerMessage ( NodeId sender , ServingMessage message , Instant now ) {
-switch ( message ) {
-case ServingMessage.Heartbeat heartbeat -> {
-if ( membership.onHeartbeat ( sender , heartbeat , reply -> heartbeat ( reply , now ) , now ) ) {
-orders.onPeerRestarted ( sender.vm ( ) , now );
-}
-}
-case ServingMessage.FeedAsk ask -> feeds.onAsk ( sender.vm ( ) , ask );
-case ServingMessage.FeedHelp help -> feeds.onHelp ( help , now );
-case ServingMessage.FeedUpdate update -> feeds.onUpdate ( sender.vm ( ) , update , now );
-case ServingMessage.PiecesWanted wanted -> onPiecesWanted ( sender , wanted , now );
-case ServingMessage.PiecesAnswered answered -> orders.onAnswered ( sender , answered , now );
-case ServingMessage.PiecesWithdrawn withdrawn -> orders.onWithdrawn ( sender , withdrawn.number ( ) , now );
-case ServingMessage.RolloutReport report -> rollouts.onReport ( report , now );
-case ServingMessage.ResultsReleased released -> orders.scheduler ( ).onReleased ( released.results ( ) );
-}
-}
+    private void onPeerMessage(NodeId sender, ServingMessage message, Instant now) {
+        switch (message) {
+            case ServingMessage.Heartbeat heartbeat -> {
+                if (membership.onHeartbeat(sender, heartbeat, reply -> heartbeat(reply, now), now)) {
+                    orders.onPeerRestarted(sender.vm(), now);
+                }
+            }
+            case ServingMessage.FeedAsk ask -> feeds.onAsk(sender.vm(), ask);
+            case ServingMessage.FeedHelp help -> feeds.onHelp(help, now);
+            case ServingMessage.FeedUpdate update -> feeds.onUpdate(sender.vm(), update, now);
+            case ServingMessage.PiecesWanted wanted -> onPiecesWanted(sender, wanted, now);
+            case ServingMessage.PiecesAnswered answered -> orders.onAnswered(sender, answered, now);
+            case ServingMessage.PiecesWithdrawn withdrawn -> orders.onWithdrawn(sender, withdrawn.number(), now);
+            case ServingMessage.RolloutReport report -> rollouts.onReport(report, now);
+            case ServingMessage.ResultsReleased released -> orders.scheduler().onReleased(released.results());
+        }
+    }
 
-private void onPiecesWanted ( NodeId sender , ServingMessage.PiecesWanted wanted , Instant now ) {
-Optional < BatchContract > contract = configuration.flatMap ( latest -> latest.pool ( wanted.pool ( ) ) ).flatMap ( PoolProfile :: pieces );
-if ( contract.isEmpty ( ) ) {
-// This node does not know the pool yet; the sender repeats the order.
-return;
-}
-orders.onWanted ( sender , wanted , contract.get ( ) , now );
-}
+    private void onPiecesWanted(NodeId sender, ServingMessage.PiecesWanted wanted, Instant now) {
+        Optional<BatchContract> contract =
+                configuration.flatMap(latest -> latest.pool(wanted.pool())).flatMap(PoolProfile::pieces);
+        if (contract.isEmpty()) {
+            // This node does not know the pool yet; the sender repeats the order.
+            return;
+        }
+        orders.onWanted(sender, wanted, contract.get(), now);
+    }
 
-private boolean onFeedRecord ( FeedName name , FeedRecord record , boolean storeUnstable , Instant now ) {
-return switch ( name ) {
-case CONFIGURATION -> {
-onConfigurationRecord ( record , now );
-yield true;
-}
-case DIRECTORY -> onDirectoryRecord ( record , storeUnstable , now );
-case MEMBERSHIP -> {
-membership.onRecord ( record , now );
-yield true;
-}
-case ROLLOUTS -> {
-rollouts.onRecord ( record , now );
-yield true;
-}
-}
-;
-}
+    private boolean onFeedRecord(FeedName name, FeedRecord record, boolean storeUnstable, Instant now) {
+        return switch (name) {
+            case CONFIGURATION -> {
+                onConfigurationRecord(record, now);
+                yield true;
+            }
+            case DIRECTORY -> onDirectoryRecord(record, storeUnstable, now);
+            case MEMBERSHIP -> {
+                membership.onRecord(record, now);
+                yield true;
+            }
+            case ROLLOUTS -> {
+                rollouts.onRecord(record, now);
+                yield true;
+            }
+        };
+    }
 
-private void onConfigurationRecord ( FeedRecord record , Instant now ) {
-switch ( setup.decoder ( ).configuration ( record ) ) {
-case ConfigurationItem.Published published -> publish ( published.configuration ( ) , record );
-case ConfigurationItem.DomainService service -> {
-directory.onDomain ( service.domain ( ) , service.out ( ) );
-log ( Decision.builder ( "domain_service" ).field ( "domain" , service.domain ( ) ).field ( "out" , service.out ( ) ).field ( "offset" , record.offset ( ) ) );
-}
-case ConfigurationItem.RolloutOrdered ordered -> rollouts.onOrder ( ordered.order ( ) , now );
-case ConfigurationItem.RolloutWithdrawn withdrawn -> rollouts.onWithdrawn ( withdrawn.pool ( ) , record );
-case ConfigurationItem.Ignored ignored -> log ( Decision.builder ( "record_ignored" ).field ( "key" , record.key ( ) ).field ( "offset" , record.offset ( ) ).field ( "reason" , ignored.reason ( ) ) );
-}
-}
+    private void onConfigurationRecord(FeedRecord record, Instant now) {
+        switch (setup.decoder().configuration(record)) {
+            case ConfigurationItem.Published published -> publish(published.configuration(), record);
+            case ConfigurationItem.DomainService service -> {
+                directory.onDomain(service.domain(), service.out());
+                log(Decision.builder("domain_service")
+                        .field("domain", service.domain())
+                        .field("out", service.out())
+                        .field("offset", record.offset()));
+            }
+            case ConfigurationItem.RolloutOrdered ordered -> rollouts.onOrder(ordered.order(), now);
+            case ConfigurationItem.RolloutWithdrawn withdrawn -> rollouts.onWithdrawn(withdrawn.pool(), record);
+            case ConfigurationItem.Ignored ignored ->
+                log(Decision.builder("record_ignored")
+                        .field("key", record.key())
+                        .field("offset", record.offset())
+                        .field("reason", ignored.reason()));
+        }
+    }
 
-private void publish ( ServingConfiguration latest , FeedRecord record ) {
-if ( configuration.isPresent ( ) && configuration.get ( ).version ( ) > latest.version ( ) ) {
-log ( Decision.builder ( "configuration_older" ).field ( "version" , latest.version ( ) ).field ( "offset" , record.offset ( ) ) );
-return;
-}
-configuration = Optional.of ( latest );
-membership.configure ( latest );
-flows.configure ( latest );
-effects.add ( new ServingEffect.LimitsChanged ( latest.limits ( ) ) );
-log ( Decision.builder ( "configuration" ).field ( "version" , latest.version ( ) ).field ( "offset" , record.offset ( ) ).field ( "routes" , latest.routes ( ).size ( ) ).field ( "keys" , latest.customers ( ).size ( ) ) );
-}
+    private void publish(ServingConfiguration latest, FeedRecord record) {
+        if (configuration.isPresent() && configuration.get().version() > latest.version()) {
+            log(Decision.builder("configuration_older")
+                    .field("version", latest.version())
+                    .field("offset", record.offset()));
+            return;
+        }
+        configuration = Optional.of(latest);
+        membership.configure(latest);
+        flows.configure(latest);
+        effects.add(new ServingEffect.LimitsChanged(latest.limits()));
+        log(Decision.builder("configuration")
+                .field("version", latest.version())
+                .field("offset", record.offset())
+                .field("routes", latest.routes().size())
+                .field("keys", latest.customers().size()));
+    }
 
-/** Applies a record of the directory feed. Returns false if it only renews a known entry. */
-private boolean onDirectoryRecord ( FeedRecord record , boolean storeUnstable , Instant now ) {
-switch ( setup.decoder ( ).directory ( record ) ) {
-case DirectoryItem.Listed listed -> {
-Listing listing = listed.listing ( );
-boolean known = directory.find ( listing.id ( ) ).map ( entry -> entry.listing ( ).equals ( listing ) ).orElse ( false );
-UpstreamDirectory.Change change = directory.onListing ( listing , now );
-if ( change == UpstreamDirectory.Change.RESTARTED ) {
-health.onRestarted ( listing.id ( ) );
-flows.onRestarted ( listing.id ( ) );
-}
-logUpstream ( listing.id ( ) , change , record );
-return ! known || ! listing.coldFor ( ).isZero ( );
-}
-case DirectoryItem.Removed removed -> remove ( removed.upstream ( ) , record , storeUnstable , now );
-case DirectoryItem.Unreadable unreadable -> {
-log ( Decision.builder ( "record_unreadable" ).field ( "key" , record.key ( ) ).field ( "offset" , record.offset ( ) ).field ( "reason" , unreadable.reason ( ) ) );
-remove ( unreadable.upstream ( ) , record , storeUnstable , now );
-}
-}
-return true;
-}
+    /** Applies a record of the directory feed. Returns false if it only renews a known entry. */
+    private boolean onDirectoryRecord(FeedRecord record, boolean storeUnstable, Instant now) {
+        switch (setup.decoder().directory(record)) {
+            case DirectoryItem.Listed listed -> {
+                Listing listing = listed.listing();
+                boolean known = directory
+                        .find(listing.id())
+                        .map(entry -> entry.listing().equals(listing))
+                        .orElse(false);
+                UpstreamDirectory.Change change = directory.onListing(listing, now);
+                if (change == UpstreamDirectory.Change.RESTARTED) {
+                    health.onRestarted(listing.id());
+                    flows.onRestarted(listing.id());
+                }
+                logUpstream(listing.id(), change, record);
+                return !known || !listing.coldFor().isZero();
+            }
+            case DirectoryItem.Removed removed -> remove(removed.upstream(), record, storeUnstable, now);
+            case DirectoryItem.Unreadable unreadable -> {
+                log(Decision.builder("record_unreadable")
+                        .field("key", record.key())
+                        .field("offset", record.offset())
+                        .field("reason", unreadable.reason()));
+                remove(unreadable.upstream(), record, storeUnstable, now);
+            }
+        }
+        return true;
+    }
 
-private void remove ( VmId upstream , FeedRecord record , boolean storeUnstable , Instant now ) {
-logUpstream ( upstream , directory.onRemoved ( upstream , storeUnstable , now ) , record );
-}
+    private void remove(VmId upstream, FeedRecord record, boolean storeUnstable, Instant now) {
+        logUpstream(upstream, directory.onRemoved(upstream, storeUnstable, now), record);
+    }
 
-private void logUpstream ( VmId upstream , UpstreamDirectory.Change change , FeedRecord record ) {
-if ( change != UpstreamDirectory.Change.NONE ) {
-log ( Decision.builder ( "upstream" ).field ( "upstream" , upstream ).field ( "change" , change ).field ( "offset" , record.offset ( ) ) );
-}
-}
+    private void logUpstream(VmId upstream, UpstreamDirectory.Change change, FeedRecord record) {
+        if (change != UpstreamDirectory.Change.NONE) {
+            log(Decision.builder("upstream")
+                    .field("upstream", upstream)
+                    .field("change", change)
+                    .field("offset", record.offset()));
+        }
+    }
 
-private void log ( Decision.Builder decision ) {
-effects.add ( new ServingEffect.LogDecision ( decision.build ( ) ) );
-}
+    private void log(Decision.Builder decision) {
+        effects.add(new ServingEffect.LogDecision(decision.build()));
+    }
 
-private void reportReadiness ( ) {
-boolean known = configuration.isPresent ( ) && feeds.complete ( FeedName.DIRECTORY ) && feeds.complete ( FeedName.MEMBERSHIP ) && peers.allHoldersFound ( ) && ( reportedReady.orElse ( false ) || ! rollouts.inProgress ( ) || feeds.complete ( FeedName.ROLLOUTS ) );
-boolean ready = known && ! shutdown.started ( );
-if ( reportedReady.isPresent ( ) && reportedReady.get ( ) == ready ) {
-return;
-}
-reportedReady = Optional.of ( ready );
-String reason = shutdown.started ( ) ? "shutting down" : known ? "serving" : "reading the feeds";
-effects.add ( new ServingEffect.ReadinessChanged ( ready , reason ) );
-}
+    private void reportReadiness() {
+        boolean known = configuration.isPresent()
+                && feeds.complete(FeedName.DIRECTORY)
+                && feeds.complete(FeedName.MEMBERSHIP)
+                && peers.allHoldersFound()
+                && (reportedReady.orElse(false) || !rollouts.inProgress() || feeds.complete(FeedName.ROLLOUTS));
+        boolean ready = known && !shutdown.started();
+        if (reportedReady.isPresent() && reportedReady.get() == ready) {
+            return;
+        }
+        reportedReady = Optional.of(ready);
+        String reason = shutdown.started() ? "shutting down" : known ? "serving" : "reading the feeds";
+        effects.add(new ServingEffect.ReadinessChanged(ready, reason));
+    }
 
-/** Returns the time until the next tick is due, in the current state of the node. */
-public Duration tickInterval ( ) {
-if ( shutdown.started ( ) || ! orders.scheduler ( ).idle ( ) ) {
-return SCHEDULING_TICK;
-}
-boolean starting = ! reportedReady.orElse ( false );
-return starting || flows.awaitingAnswer ( ) || ! orders.idle ( ) ? REQUEST_TICK : IDLE_TICK;
-}
+    /** Returns the time until the next tick is due, in the current state of the node. */
+    public Duration tickInterval() {
+        if (shutdown.started() || !orders.scheduler().idle()) {
+            return SCHEDULING_TICK;
+        }
+        boolean starting = !reportedReady.orElse(false);
+        return starting || flows.awaitingAnswer() || !orders.idle() ? REQUEST_TICK : IDLE_TICK;
+    }
 
-/** Returns the number of requests in progress. */
-public int requests ( ) {
-return flows.size ( );
-}
+    /** Returns the number of requests in progress. */
+    public int requests() {
+        return flows.size();
+    }
 }
