--- a/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/Dispatcher.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/Dispatcher.java
@@ -16,8 +16,8 @@
 import org.wagtaillug.contract.Stage;
 import org.wagtaillug.contract.StageWork;
 import org.wagtaillug.drain.Drain;
-import org.wagtaillug.grant.Finish;
 import org.wagtaillug.grant.GrantOwner;
+import org.wagtaillug.grant.UpstreamOutcome;
 import org.wagtaillug.id.AttemptId;
 import org.wagtaillug.id.PoolId;
 import org.wagtaillug.id.RequestId;
@@ -44,10 +44,10 @@
 public final class Dispatcher {
     /**
      * Owners that have lost contact with a grant holder rely on no attempt taking longer than this; see
-     * {@link GrantOwner#LONGEST_ATTEMPT}. Not applied to non-idempotent requests: it would report an unknown
+     * {@link GrantOwner#MAX_ATTEMPT_DURATION}. Not applied to non-idempotent requests: it would report an unknown
      * outcome for a call that may be about to succeed.
      */
-    private static final Duration MAX_ATTEMPT_DURATION = GrantOwner.LONGEST_ATTEMPT;
+    private static final Duration MAX_ATTEMPT_DURATION = GrantOwner.MAX_ATTEMPT_DURATION;
 
     private static final double HEDGE_QUANTILE = 0.95;
     private static final int MAX_UNSENT_ATTEMPTS = 3;
@@ -236,16 +236,16 @@
      * Maps the end of an attempt to the result that is recorded for its upstream. Only a stalled attempt may still be
      * running there. A refused, reset or invalid one has ended, and may mean that the upstream has just started.
      */
-    private static Finish finish(LiveAttempt live, AttemptEnd end) {
+    private static UpstreamOutcome finish(LiveAttempt live, AttemptEnd end) {
         if (live.stalled()) {
-            return Finish.FAILED;
+            return UpstreamOutcome.FAILED;
         }
         return switch (end) {
-            case AttemptEnd.Completed ignored -> Finish.SUCCEEDED;
-            case AttemptEnd.Overloaded ignored -> Finish.OVERLOADED;
-            case AttemptEnd.Rejected ignored -> Finish.CANCELLED;
-            case AttemptEnd.Failed ignored -> live.cancelled() ? Finish.CANCELLED : Finish.OVERLOADED;
-            case AttemptEnd.NotStarted ignored -> Finish.CANCELLED;
+            case AttemptEnd.Completed ignored -> UpstreamOutcome.SUCCEEDED;
+            case AttemptEnd.Overloaded ignored -> UpstreamOutcome.OVERLOADED;
+            case AttemptEnd.Rejected ignored -> UpstreamOutcome.CANCELLED;
+            case AttemptEnd.Failed ignored -> live.cancelled() ? UpstreamOutcome.CANCELLED : UpstreamOutcome.OVERLOADED;
+            case AttemptEnd.NotStarted ignored -> UpstreamOutcome.CANCELLED;
         };
     }
 
