--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/FeedExchange.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/FeedExchange.java
@@ -85,7 +85,7 @@
 
     /** Whether this node receives new records of a feed, from the store or from peers. */
     boolean fresh(FeedName name, Instant now) {
-        return feeds.get(name).whole() && !readers.get(name).cutOff(now, name.relayTimeout());
+        return feeds.get(name).complete() && !readers.get(name).cutOff(now, name.relayTimeout());
     }
 
     /** Returns the position after the last known record. */
@@ -95,7 +95,7 @@
 
     /** Whether all records up to the position of a feed are known. */
     boolean complete(FeedName name) {
-        return feeds.get(name).whole();
+        return feeds.get(name).complete();
     }
 
     /** The position of each feed; 0 for a feed with unknown earlier records. */
@@ -106,7 +106,7 @@
     }
 
     private static long position(Feed feed) {
-        return feed.whole() ? feed.next() : 0;
+        return feed.complete() ? feed.next() : 0;
     }
 
     /** Whether this node needs the feed updates of its peers. */
@@ -144,7 +144,7 @@
         long from = feeds.get(name).next();
         boolean recentlyFailing = recentlyFailing(name, now);
         List<FeedRecord> changes = apply(name, readers.get(name).onRecords(read.batch(), now), recentlyFailing, now);
-        if (reader && feeds.get(name).whole()) {
+        if (reader && feeds.get(name).complete()) {
             relay(
                     new ServingMessage.FeedUpdate(
                             name, from, new FeedBatch(feeds.get(name).next(), false, changes), recentlyFailing),
@@ -159,7 +159,7 @@
     }
 
     void onForgotten(FeedName name, Instant now) {
-        readers.get(name).onForgotten(now);
+        readers.get(name).onTruncated(now);
     }
 
     /**
@@ -185,7 +185,7 @@
     /** Applies records that a peer has read and relayed. */
     void onUpdate(VmId sender, ServingMessage.FeedUpdate update, Instant now) {
         Feed feed = feeds.get(update.feed());
-        if (!feed.whole()) {
+        if (!feed.complete()) {
             return;
         }
         if (update.from() > feed.next()) {
@@ -204,7 +204,7 @@
 
     void onAsk(VmId sender, ServingMessage.FeedAsk ask) {
         Feed feed = feeds.get(ask.feed());
-        if (feed.whole() && feed.next() > ask.from()) {
+        if (feed.complete() && feed.next() > ask.from()) {
             effects.accept(new ServingEffect.SendToPeer(
                     sender, new ServingMessage.FeedHelp(ask.feed(), feed.after(ask.from()))));
         }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/Serving.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/Serving.java
@@ -336,7 +336,7 @@
         boolean known = configuration.isPresent()
                 && feeds.complete(FeedName.DIRECTORY)
                 && feeds.complete(FeedName.MEMBERSHIP)
-                && peers.settled()
+                && peers.allHoldersFound()
                 && (reportedReady.orElse(false) || !rollouts.inProgress() || feeds.complete(FeedName.ROLLOUTS));
         boolean ready = known && !shutdown.started();
         if (reportedReady.isPresent() && reportedReady.get() == ready) {
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/Shutdown.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/Shutdown.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 import java.time.Instant;
-import org.wagtaillug.drain.Grace;
+import org.wagtaillug.drain.GracePeriod;
 
 /**
  * The shutdown of a node: it reports at once that it is not ready, continues to serve what it can answer in time, and
@@ -15,14 +15,14 @@
      */
     private static final Duration READINESS_PROPAGATION_DELAY = Duration.ofMillis(2500);
 
-    private final Grace grace;
+    private final GracePeriod grace;
     private boolean propagationReported;
     private boolean finishReported;
     private boolean portsClosing;
 
     /** Creates the shutdown of a node that is killed after this grace period. */
     Shutdown(Duration grace) {
-        this.grace = new Grace(grace);
+        this.grace = new GracePeriod(grace);
     }
 
     void start(Instant askedAt) {
@@ -40,7 +40,7 @@
 
     /** Whether work of this duration completes before the final answers have to be given. */
     boolean enoughFor(Duration needed, Instant now) {
-        return !portsClosing && grace.enoughFor(needed, now);
+        return !portsClosing && grace.hasTimeFor(needed, now);
     }
 
     /** Whether open requests must get their final answers now. */
