--- a/wagtaillug-tool/src/main/java/org/wagtaillug/tool/account/AccountCommand.java
+++ b/wagtaillug-tool/src/main/java/org/wagtaillug/tool/account/AccountCommand.java
@@ -6,29 +6,29 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** Adds up the log files of nodes. */
+/** Aggregates the log files of nodes. */
 public final class AccountCommand {
     private AccountCommand() {}
 
     /**
-     * The account of all files together.
+     * Aggregates all files into one report.
      *
-     * @return a list of rows for each table, or what is wrong with a file
+     * @return a list of rows for each table, or an error message for a file
      */
     public static Either<String, ObjectNode> of(List<String> names) {
-        Account account = new Account();
-        LogFiles files = new LogFiles(account);
+        RequestStatistics statistics = new RequestStatistics();
+        LogFileReader reader = new LogFileReader(statistics);
         for (String name : names) {
-            long before = account.decisions();
+            long decisionsBefore = statistics.decisions();
             try {
-                files.read(Path.of(name));
-            } catch (IOException fault) {
-                return Either.left(name + ": cannot be read (" + fault + "); expected a log file of a node");
+                reader.read(Path.of(name));
+            } catch (IOException exception) {
+                return Either.left(name + ": cannot be read (" + exception + "); expected a log file of a node");
             }
-            if (account.decisions() == before) {
-                return Either.left(name + ": found no decision in it; expected the JSON lines of a node's log");
+            if (statistics.decisions() == decisionsBefore) {
+                return Either.left(name + ": found no decision; expected the JSON lines of a node's log");
             }
         }
-        return Either.right(AccountReport.of(account, files));
+        return Either.right(StatisticsReport.of(statistics, reader));
     }
 }
--- a/wagtaillug-tool/src/main/java/org/wagtaillug/tool/account/DecisionLine.java
+++ b/wagtaillug-tool/src/main/java/org/wagtaillug/tool/account/DecisionLine.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 
-/** One decision as a node has logged it. Fields that an older version of the program did not write are empty. */
+/** A decision logged by a node. Fields that older versions did not write are empty. */
 final class DecisionLine {
     private final JsonNode fields;
     private final Instant at;
@@ -16,7 +16,7 @@
         this.at = at;
     }
 
-    /** Empty if the object is not a decision with a time. */
+    /** Parses a log line; empty if it is not a decision with a valid time. */
     static Optional<DecisionLine> of(JsonNode object) {
         if (!object.path("decision").isTextual()) {
             return Optional.empty();
@@ -42,7 +42,7 @@
         return value.isMissingNode() || value.isNull() ? Optional.empty() : Optional.of(value.asText());
     }
 
-    /** Empty if the field is missing or no whole number. */
+    /** The value of an integer field; empty if the field is missing or not an integer. */
     OptionalLong number(String field) {
         try {
             return text(field).map(Long::parseLong).map(OptionalLong::of).orElse(OptionalLong.empty());
--- a/wagtaillug-tool/src/main/java/org/wagtaillug/tool/account/LogFiles.java
+++ b/wagtaillug-tool/src/main/java/org/wagtaillug/tool/account/LogFileReader.java
@@ -13,66 +13,66 @@
 import java.util.Optional;
 
 /**
- * Reads log files line by line into an {@link Account}, whatever they hold: lines that are no decision are counted, and none
- * is kept in memory longer than it is read.
+ * Reads log files line by line into {@link RequestStatistics}, whatever they contain: other lines are only counted, and no
+ * line is kept in memory after it has been processed.
  */
-final class LogFiles {
-    /** A node's own lines are under two kilobytes; what is longer is not one of them. */
-    private static final int LONGEST_LINE = 65_536;
+final class LogFileReader {
+    /** Longer lines are not decisions: the lines that a node writes are shorter than two kilobytes. */
+    private static final int MAX_LINE_BYTES = 65_536;
 
-    private static final int BUFFER = 1 << 16;
+    private static final int BUFFER_BYTES = 1 << 16;
 
-    private final Account account;
+    private final RequestStatistics statistics;
     private final ObjectMapper json = new ObjectMapper();
     private long lines;
-    private long others;
-    private long broken;
+    private long otherLines;
+    private long malformedLines;
 
-    LogFiles(Account account) {
-        this.account = account;
+    LogFileReader(RequestStatistics statistics) {
+        this.statistics = statistics;
     }
 
     /**
      * Reads one file.
      *
-     * @throws IOException if it cannot be opened, or fails while it is read
+     * @throws IOException if the file cannot be opened or read
      */
     void read(Path file) throws IOException {
-        try (InputStream bytes = new BufferedInputStream(Files.newInputStream(file), BUFFER)) {
+        try (InputStream bytes = new BufferedInputStream(Files.newInputStream(file), BUFFER_BYTES)) {
             ByteArrayOutputStream line = new ByteArrayOutputStream();
             boolean tooLong = false;
             for (int next = bytes.read(); next >= 0; next = bytes.read()) {
                 if (next == '\n') {
-                    onLine(line, tooLong);
+                    processLine(line, tooLong);
                     tooLong = false;
-                } else if (line.size() < LONGEST_LINE) {
+                } else if (line.size() < MAX_LINE_BYTES) {
                     line.write(next);
                 } else {
                     tooLong = true;
                 }
             }
             if (line.size() > 0) {
-                onLine(line, tooLong);
+                processLine(line, tooLong);
             }
         }
     }
 
-    private void onLine(ByteArrayOutputStream bytes, boolean tooLong) {
+    private void processLine(ByteArrayOutputStream bytes, boolean tooLong) {
         lines++;
         String text = bytes.toString(StandardCharsets.UTF_8);
         bytes.reset();
-        // What collects logs may put the time or the node before each line.
+        // A log collector may prefix each line with the time or the node.
         int start = text.indexOf('{');
         if (tooLong || start < 0) {
-            others++;
+            otherLines++;
             return;
         }
         try {
             JsonNode object = json.readTree(text.substring(start));
             Optional<DecisionLine> decision = DecisionLine.of(object);
-            decision.ifPresentOrElse(account::onLine, () -> others++);
-        } catch (JsonProcessingException unreadable) {
-            broken++;
+            decision.ifPresentOrElse(statistics::onDecision, () -> otherLines++);
+        } catch (JsonProcessingException malformed) {
+            malformedLines++;
         }
     }
 
@@ -80,13 +80,13 @@
         return lines;
     }
 
-    /** Lines that hold no decision. */
-    long others() {
-        return others;
+    /** The number of lines that are not decisions. */
+    long otherLines() {
+        return otherLines;
     }
 
-    /** Lines that begin as an object and are none, as the last one of a file that was cut. */
-    long broken() {
-        return broken;
+    /** The number of lines that contain malformed JSON, such as the last line of a truncated file. */
+    long malformedLines() {
+        return malformedLines;
     }
 }
--- a/wagtaillug-tool/src/main/java/org/wagtaillug/tool/account/Mean.java
+++ b/wagtaillug-tool/src/main/java/org/wagtaillug/tool/account/Mean.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.OptionalLong;
 
-/** The mean of figures. */
+/** The arithmetic mean of a series of values. */
 final class Mean {
     private static final double TENTHS = 10;
 
@@ -11,13 +11,13 @@
     private long total;
 
     void add(OptionalLong value) {
-        value.ifPresent(known -> {
+        value.ifPresent(present -> {
             count++;
-            total += known;
+            total += present;
         });
     }
 
-    /** Writes the mean with one decimal, if there is a figure. */
+    /** Writes the mean with one decimal place, if there are values. */
     void write(String name, ObjectNode row) {
         if (count > 0) {
             row.put(name, Math.round(TENTHS * total / count) / TENTHS);
--- a/wagtaillug-tool/src/main/java/org/wagtaillug/tool/account/package-info.java
+++ b/wagtaillug-tool/src/main/java/org/wagtaillug/tool/account/package-info.java
@@ -1,10 +1,11 @@
 /**
- * Where the time of requests went, worked out from the decision lines of nodes' logs.
+ * Aggregates the decision lines of nodes' logs into statistics on where requests spent their time.
  *
  * <pre>{@code
- * Account account = new Account();
- * new LogFiles(account).read(Path.of("node-1.log"));
- * String text = new AccountTables(account).text();
+ * RequestStatistics statistics = new RequestStatistics();
+ * LogFileReader reader = new LogFileReader(statistics);
+ * reader.read(Path.of("node-1.log"));
+ * ObjectNode report = StatisticsReport.of(statistics, reader);
  * }</pre>
  */
 package org.wagtaillug.tool.account;
--- a/wagtaillug-tool/src/test/java/org/wagtaillug/tool/AccountTest.java
+++ b/wagtaillug-tool/src/test/java/org/wagtaillug/tool/AccountTest.java
@@ -142,7 +142,7 @@
         write(line(0, String.format(ACCEPT, "a", "a")));
         ToolRun run = ToolRun.of("account", log.toString(), binary.toString());
         assertThat(run.exitCode()).isEqualTo(1);
-        assertThat(run.errors()).contains("core.bin: found no decision in it; expected the JSON lines of a node's log");
+        assertThat(run.errors()).contains("core.bin: found no decision; expected the JSON lines of a node's log");
     }
 
     @Test
