--- a/wagtaillug-tool/src/main/java/org/wagtaillug/tool/AdministrationClient.java
+++ b/wagtaillug-tool/src/main/java/org/wagtaillug/tool/AdministrationClient.java
@@ -31,14 +31,14 @@
 import org.eclipse.jetty.io.ClientConnector;
 import org.eclipse.jetty.util.ssl.SslContextFactory;
 
-/** Calls of the administration interface, see docs/API.md. */
+/** HTTP client for the administration interface of the nodes, see docs/API.md. */
 final class AdministrationClient implements AutoCloseable {
     static final int OK = 200;
 
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
     private static final Duration CALL_TIMEOUT = Duration.ofSeconds(10);
-    private static final int LONGEST_ANSWER = 64 * 1024 * 1024;
+    private static final int MAX_RESPONSE_BYTES = 64 * 1024 * 1024;
 
     private final List<String> nodes;
     private final String token;
@@ -50,149 +50,150 @@
         this.client = client;
     }
 
-    /** How one call of one node ended. */
-    sealed interface Exchange {
+    /** The result of one call to one node. */
+    sealed interface CallResult {
         /**
-         * The node answered.
+         * The node responded.
          *
          * @param status the HTTP status
-         * @param body its JSON; a missing node where it sent none
+         * @param body the JSON body; a missing node if the response has none
          */
-        record Answered(int status, JsonNode body) implements Exchange {}
+        record Response(int status, JsonNode body) implements CallResult {}
 
         /**
-         * No byte of the call left this machine: it had no effect.
+         * No byte of the request was sent, so the call had no effect.
          *
-         * @param reason why
+         * @param reason why the request was not sent
          */
-        record NotReached(String reason) implements Exchange {}
+        record NotSent(String reason) implements CallResult {}
 
         /**
-         * The call was begun and no answer came: it may have had its effect.
+         * The request was started, but no response was received: the call may have taken effect.
          *
-         * @param reason why
+         * @param reason why there is no response
          */
-        record Lost(String reason) implements Exchange {}
+        record NoResponse(String reason) implements CallResult {}
     }
 
     /**
-     * Starts a client.
+     * Creates and starts a client.
      *
      * @param nodes base URLs, tried in this order
-     * @param token shown with each call
-     * @param trust a PEM file of certificates to trust in place of the system's
+     * @param token the bearer token sent with each call
+     * @param trust a PEM file of certificates to trust instead of the system's
      */
     static Either<ToolFailure, AdministrationClient> start(List<String> nodes, String token, Optional<Path> trust) {
         ClientConnector connector = new ClientConnector();
         SslContextFactory.Client tls = new SslContextFactory.Client();
         try {
             if (trust.isPresent()) {
-                tls.setTrustStore(certificates(trust.get()));
+                tls.setTrustStore(loadTrustStore(trust.get()));
             }
-        } catch (IOException | GeneralSecurityException fault) {
-            return Either.left(CommandLine.usage("--trust: found " + trust.get() + ", which cannot be read (" + fault
-                    + "); expected a PEM file of certificates"));
+        } catch (IOException | GeneralSecurityException exception) {
+            return Either.left(CommandLine.usage("--trust: found " + trust.get() + ", which cannot be read ("
+                    + exception + "); expected a PEM file of certificates"));
         }
         connector.setSslContextFactory(tls);
         connector.setConnectTimeout(CONNECT_TIMEOUT);
         HttpClient client = new HttpClient(new HttpClientTransportOverHTTP(connector));
         try {
             client.start();
-        } catch (Exception fault) {
-            throw new IllegalStateException("the HTTP client does not start", fault);
+        } catch (Exception exception) {
+            throw new IllegalStateException("cannot start the HTTP client", exception);
         }
         return Either.right(new AdministrationClient(nodes, token, client));
     }
 
-    private static KeyStore certificates(Path file) throws IOException, GeneralSecurityException {
-        KeyStore store = KeyStore.getInstance(KeyStore.getDefaultType());
-        store.load(null, null);
+    private static KeyStore loadTrustStore(Path file) throws IOException, GeneralSecurityException {
+        KeyStore trustStore = KeyStore.getInstance(KeyStore.getDefaultType());
+        trustStore.load(null, null);
         int count = 0;
         try (var stream = Files.newInputStream(file)) {
             for (Certificate certificate :
                     CertificateFactory.getInstance("X.509").generateCertificates(stream)) {
                 count++;
-                store.setCertificateEntry("trusted-" + count, certificate);
+                trustStore.setCertificateEntry("trusted-" + count, certificate);
             }
         }
         if (count == 0) {
-            throw new CertificateException("no certificate in it");
+            throw new CertificateException("the file contains no certificate");
         }
-        return store;
+        return trustStore;
     }
 
     List<String> nodes() {
         return nodes;
     }
 
-    /** Reads from the first node that can serve. */
+    /** Reads from the first node that can serve the request. */
     Either<ToolFailure, JsonNode> get(String path) {
         List<String> reasons = new ArrayList<>();
         for (String node : nodes) {
             switch (get(node, path)) {
-                case Exchange.Answered answered -> {
-                    if (answered.status() == OK) {
-                        return Either.right(answered.body());
+                case CallResult.Response response -> {
+                    if (response.status() == OK) {
+                        return Either.right(response.body());
                     }
-                    Answers.Refusal refusal = Answers.refusal(answered);
-                    if (!refusal.anotherNodeMayServe()) {
+                    ErrorResponses.Refusal refusal = ErrorResponses.parse(response);
+                    if (!refusal.retryableOnOtherNode()) {
                         return Either.left(refusal.failure(node));
                     }
                     reasons.add(node + ": " + refusal.message());
                 }
-                case Exchange.NotReached notReached -> reasons.add(node + ": " + notReached.reason());
-                case Exchange.Lost lost -> reasons.add(node + ": " + lost.reason());
+                case CallResult.NotSent notSent -> reasons.add(node + ": " + notSent.reason());
+                case CallResult.NoResponse noResponse -> reasons.add(node + ": " + noResponse.reason());
             }
         }
         return Either.left(new ToolFailure.Unreachable(reasons));
     }
 
     /** Reads from one node. */
-    Exchange get(String node, String path) {
-        return exchange(client.newRequest(URI.create(node + path)).method(HttpMethod.GET));
+    CallResult get(String node, String path) {
+        return call(client.newRequest(URI.create(node + path)).method(HttpMethod.GET));
     }
 
-    /** Sends a JSON object to one node, once. */
-    Exchange post(String node, String path, JsonNode body) {
+    /** Sends a JSON object to one node, without retries. */
+    CallResult post(String node, String path, JsonNode body) {
         Request request = client.newRequest(URI.create(node + path)).method(HttpMethod.POST);
-        return exchange(request.body(new StringRequestContent("application/json", body.toString())));
+        return call(request.body(new StringRequestContent("application/json", body.toString())));
     }
 
     /**
-     * Whether a failed call may have had an effect decides whether it may be sent elsewhere. The client tells when it
-     * begins to write a request: a failure before that is no more than a connection that did not come about.
+     * Distinguishes failures before and after the request was started: a call that may have taken effect must not be sent
+     * to another node. The HTTP client reports when it starts to write a request; any earlier failure only means that no
+     * connection was established.
      */
-    private Exchange exchange(Request request) {
-        AtomicBoolean begun = new AtomicBoolean();
+    private CallResult call(Request request) {
+        AtomicBoolean requestStarted = new AtomicBoolean();
         request.headers(headers -> headers.put(HttpHeader.AUTHORIZATION, "Bearer " + token))
                 .timeout(CALL_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS)
-                .onRequestBegin(started -> begun.set(true));
+                .onRequestBegin(ignored -> requestStarted.set(true));
         try {
-            ContentResponse response = new CompletableResponseListener(request, LONGEST_ANSWER)
+            ContentResponse response = new CompletableResponseListener(request, MAX_RESPONSE_BYTES)
                     .send()
                     .get();
-            return new Exchange.Answered(response.getStatus(), json(response.getContentAsString()));
-        } catch (ExecutionException fault) {
-            return failed(begun.get(), reason(fault.getCause()));
+            return new CallResult.Response(response.getStatus(), parseJson(response.getContentAsString()));
+        } catch (ExecutionException exception) {
+            return failedCall(requestStarted.get(), reason(exception.getCause()));
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
-            return failed(begun.get(), "interrupted");
+            return failedCall(requestStarted.get(), "interrupted");
         }
     }
 
-    private static Exchange failed(boolean begun, String reason) {
-        return begun ? new Exchange.Lost(reason) : new Exchange.NotReached(reason);
+    private static CallResult failedCall(boolean requestStarted, String reason) {
+        return requestStarted ? new CallResult.NoResponse(reason) : new CallResult.NotSent(reason);
     }
 
-    private static String reason(Throwable fault) {
-        String message = fault.getMessage();
-        return message == null || message.isBlank() ? fault.getClass().getSimpleName() : message;
+    private static String reason(Throwable exception) {
+        String message = exception.getMessage();
+        return message == null || message.isBlank() ? exception.getClass().getSimpleName() : message;
     }
 
-    private static JsonNode json(String text) {
+    private static JsonNode parseJson(String text) {
         try {
             return JSON.readTree(text);
-        } catch (JsonProcessingException fault) {
+        } catch (JsonProcessingException exception) {
             return JSON.missingNode();
         }
     }
@@ -201,8 +202,8 @@
     public void close() {
         try {
             client.stop();
-        } catch (Exception fault) {
-            throw new IllegalStateException("the HTTP client does not stop", fault);
+        } catch (Exception exception) {
+            throw new IllegalStateException("cannot stop the HTTP client", exception);
         }
     }
 }
--- a/wagtaillug-tool/src/main/java/org/wagtaillug/tool/BashCompletion.java
+++ b/wagtaillug-tool/src/main/java/org/wagtaillug/tool/BashCompletion.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Writes a script for bash that completes commands, their fixed words and long options; files where files belong. */
+/** Generates a bash completion script for commands, their fixed arguments, long options and file names. */
 final class BashCompletion {
     private BashCompletion() {}
 
--- a/wagtaillug-tool/src/main/java/org/wagtaillug/tool/BodyDifference.java
+++ b/wagtaillug-tool/src/main/java/org/wagtaillug/tool/BodyDifference.java
@@ -8,16 +8,16 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** Compares two bodies field by field. */
+/** Compares two JSON bodies field by field. */
 final class BodyDifference {
     private BodyDifference() {}
 
     /**
      * One field that differs.
      *
-     * @param path which, for example {@code stages[2].timeout}
-     * @param before its value in force; empty if it has none
-     * @param after its value in the file; empty if it has none
+     * @param path the path of the field, for example {@code stages[2].timeout}
+     * @param before the value in force; empty if the field is absent
+     * @param after the value in the file; empty if the field is absent
      */
     record Line(String path, String before, String after) {
         @Override
@@ -33,31 +33,31 @@
     }
 
     static List<Line> between(JsonNode before, JsonNode after) {
-        Map<String, String> old = new TreeMap<>();
-        Map<String, String> fresh = new TreeMap<>();
-        collect("", before, old);
-        collect("", after, fresh);
-        TreeSet<String> paths = new TreeSet<>(old.keySet());
-        paths.addAll(fresh.keySet());
+        Map<String, String> original = new TreeMap<>();
+        Map<String, String> updated = new TreeMap<>();
+        flatten("", before, original);
+        flatten("", after, updated);
+        TreeSet<String> paths = new TreeSet<>(original.keySet());
+        paths.addAll(updated.keySet());
         List<Line> lines = new ArrayList<>();
         for (String path : paths) {
-            if (!Objects.equals(old.get(path), fresh.get(path))) {
-                lines.add(new Line(path, old.getOrDefault(path, ""), fresh.getOrDefault(path, "")));
+            if (!Objects.equals(original.get(path), updated.get(path))) {
+                lines.add(new Line(path, original.getOrDefault(path, ""), updated.getOrDefault(path, "")));
             }
         }
         return lines;
     }
 
-    private static void collect(String path, JsonNode value, Map<String, String> values) {
+    private static void flatten(String path, JsonNode value, Map<String, String> values) {
         if (value.isObject()) {
             for (Map.Entry<String, JsonNode> field : value.properties()) {
-                collect(path.isEmpty() ? field.getKey() : path + "." + field.getKey(), field.getValue(), values);
+                flatten(path.isEmpty() ? field.getKey() : path + "." + field.getKey(), field.getValue(), values);
             }
             return;
         }
         if (value.isArray()) {
             for (int index = 0; index < value.size(); index++) {
-                collect(path + "[" + index + "]", value.path(index), values);
+                flatten(path + "[" + index + "]", value.path(index), values);
             }
             return;
         }
--- a/wagtaillug-tool/src/main/java/org/wagtaillug/tool/ChangeCommands.java
+++ b/wagtaillug-tool/src/main/java/org/wagtaillug/tool/ChangeCommands.java
@@ -20,30 +20,30 @@
 /** The commands that change the configuration. */
 final class ChangeCommands {
     private final AdministrationClient client;
-    private final Surroundings surroundings;
+    private final ToolEnvironment environment;
 
-    ChangeCommands(AdministrationClient client, Surroundings surroundings) {
+    ChangeCommands(AdministrationClient client, ToolEnvironment environment) {
         this.client = client;
-        this.surroundings = surroundings;
+        this.environment = environment;
     }
 
-    /** One key and what it shall hold. */
-    private record Wanted(String key, Body body) {}
+    /** A key and the body to publish under it. */
+    private record PlannedChange(String key, Body body) {}
 
     Either<ToolFailure, Result> publish(Command.Publish command) {
         return ContractFiles.bodies(command.files()).flatMap(bodies -> {
-            List<Wanted> wanted = new ArrayList<>();
+            List<PlannedChange> planned = new ArrayList<>();
             for (Body body : bodies) {
-                wanted.add(new Wanted(body.key(), body));
+                planned.add(new PlannedChange(body.key(), body));
             }
             return ConfigurationView.read(client).flatMap(view -> {
                 warnOfUnknownTemplates(bodies, view);
-                return apply(wanted, view, command.change());
+                return apply(planned, view, command.change());
             });
         });
     }
 
-    /** A customer's parameters for a template that does not exist change nothing, which is hard to notice later. */
+    /** Parameters that a customer sets for a template that does not exist have no effect, which is hard to notice later. */
     private void warnOfUnknownTemplates(List<Body> bodies, ConfigurationView view) {
         TreeSet<String> known = new TreeSet<>();
         for (String key : view.entries().keySet()) {
@@ -63,7 +63,7 @@
             for (TemplateId template : customer.parameters().keySet()) {
                 if (!known.contains(template.value())) {
                     String text = "warning: " + customer.key() + ": parameters." + template + ": no such template";
-                    surroundings.errors().println(text + didYouMean(template.value(), known));
+                    environment.errors().println(text + didYouMean(template.value(), known));
                 }
             }
         }
@@ -80,14 +80,14 @@
             if (entry.isEmpty() || entry.get().removed()) {
                 return Either.left(ViewCommands.noSuchKey(key, view));
             }
-            return apply(List.of(new Wanted(key, new Body.Removed())), view, command.change());
+            return apply(List.of(new PlannedChange(key, new Body.Removed())), view, command.change());
         });
     }
 
     Either<ToolFailure, Result> domain(Command.Domain command) {
-        return outOrBack("domain", "DOMAIN", command.words())
-                .flatMap(out -> named(command.words().get(1), DomainId::new)
-                        .flatMap(domain -> service(
+        return parseOutOrBack("domain", "DOMAIN", command.arguments())
+                .flatMap(out -> parseId(command.arguments().get(1), DomainId::new)
+                        .flatMap(domain -> changeService(
                                 "domain",
                                 domain.value(),
                                 new Body.DomainService(domain, out),
@@ -96,48 +96,51 @@
     }
 
     Either<ToolFailure, Result> vm(Command.Vm command) {
-        return outOrBack("vm", "VM", command.words())
-                .flatMap(out -> named(command.words().get(1), VmId::new)
-                        .flatMap(vm -> service(
+        return parseOutOrBack("vm", "VM", command.arguments())
+                .flatMap(out -> parseId(command.arguments().get(1), VmId::new)
+                        .flatMap(vm -> changeService(
                                 "vm", vm.value(), new Body.VmService(vm, out), command.unlisted(), command.change())));
     }
 
-    private static <T> Either<ToolFailure, T> named(String name, Function<String, T> type) {
+    private static <T> Either<ToolFailure, T> parseId(String name, Function<String, T> constructor) {
         try {
-            return Either.right(type.apply(name));
-        } catch (IllegalArgumentException fault) {
-            return Either.left(CommandLine.usage(fault.getMessage()));
+            return Either.right(constructor.apply(name));
+        } catch (IllegalArgumentException exception) {
+            return Either.left(CommandLine.usage(exception.getMessage()));
         }
     }
 
-    private static Either<ToolFailure, Boolean> outOrBack(String command, String what, List<String> words) {
+    private static Either<ToolFailure, Boolean> parseOutOrBack(String command, String placeholder, List<String> words) {
         boolean known = words.size() == 2 && List.of("out", "back").contains(words.getFirst());
         if (!known) {
             return Either.left(CommandLine.usage(command + ": found \"" + String.join(" ", words) + "\"; expected out "
-                    + what + " or back " + what));
+                    + placeholder + " or back " + placeholder));
         }
         return Either.right(words.getFirst().equals("out"));
     }
 
-    /** A mistyped name would be taken out and the right one would go on, so that a new name must be one that is seen. */
-    private Either<ToolFailure, Result> service(
+    /**
+     * Rejects names that no node reports, unless {@code --unlisted} is given: a mistyped name would be taken out of service
+     * while the intended one stayed in service.
+     */
+    private Either<ToolFailure, Result> changeService(
             String field, String name, Body body, boolean unlisted, Command.ChangeOptions options) {
         return ConfigurationView.read(client).flatMap(view -> {
             if (view.entry(body.key()).isPresent() || unlisted) {
-                return apply(List.of(new Wanted(body.key(), body)), view, options);
+                return apply(List.of(new PlannedChange(body.key(), body)), view, options);
             }
-            return seen(field).flatMap(names -> {
+            return reportedNames(field).flatMap(names -> {
                 if (!names.contains(name)) {
                     String expected = "; expected one of " + String.join(", ", names);
                     return Either.left(new ToolFailure.NotFound("found the " + field + " \"" + name + "\"" + expected
-                            + didYouMean(name, names) + " (--unlisted takes it all the same)"));
+                            + didYouMean(name, names) + " (use --unlisted to accept it anyway)"));
                 }
-                return apply(List.of(new Wanted(body.key(), body)), view, options);
+                return apply(List.of(new PlannedChange(body.key(), body)), view, options);
             });
         });
     }
 
-    private Either<ToolFailure, TreeSet<String>> seen(String field) {
+    private Either<ToolFailure, TreeSet<String>> reportedNames(String field) {
         return client.get("/admin/upstreams")
                 .flatMap(upstreams -> client.get("/admin/nodes").map(nodes -> {
                     TreeSet<String> names = new TreeSet<>();
@@ -152,33 +155,35 @@
     }
 
     private Either<ToolFailure, Result> apply(
-            List<Wanted> wanted, ConfigurationView view, Command.ChangeOptions options) {
+            List<PlannedChange> planned, ConfigurationView view, Command.ChangeOptions options) {
         Optional<Duration> timeout = DurationText.parse(options.timeout());
         if (timeout.isEmpty()) {
             String expected = "; expected a duration, for example 5s";
             return Either.left(CommandLine.usage("--timeout: found \"" + options.timeout() + "\"" + expected));
         }
-        if (options.base() != null && wanted.size() != 1) {
-            String found = "--base: found with " + wanted.size() + " contracts";
+        if (options.base() != null && planned.size() != 1) {
+            String found = "--base: found with " + planned.size() + " contracts";
             return Either.left(CommandLine.usage(found + "; expected one, as each key has its own version"));
         }
-        ChangeSender sender = new ChangeSender(client, surroundings, timeout.get());
+        ChangeSender sender = new ChangeSender(client, environment, timeout.get());
         ChangeReport report = new ChangeReport();
-        for (Wanted next : wanted) {
+        for (PlannedChange change : planned) {
             if (report.failed()) {
-                report.notSent(next.key());
+                report.addNotSent(change.key());
                 continue;
             }
-            Optional<ConfigurationView.Entry> entry = view.entry(next.key());
-            if (options.base() == null && entry.isPresent() && entry.get().holds(next.body())) {
-                report.unchanged(next.key(), entry.get().version());
+            Optional<ConfigurationView.Entry> entry = view.entry(change.key());
+            if (options.base() == null && entry.isPresent() && entry.get().hasBody(change.body())) {
+                report.addUnchanged(change.key(), entry.get().version());
                 continue;
             }
-            long base = options.base() == null ? view.version(next.key()) : options.base();
-            report.add(next.key(), base, sender.send(new Change(next.key(), base, next.body())));
+            long base = options.base() == null ? view.version(change.key()) : options.base();
+            report.add(change.key(), base, sender.send(new Change(change.key(), base, change.body())));
         }
-        if (options.waits() && report.newest() > 0) {
-            report.reach(new ForceWait(client, surroundings).await(report.newest(), timeout.get()), timeout.get());
+        if (options.waits() && report.newestVersion() > 0) {
+            report.addPropagation(
+                    new PropagationWaiter(client, environment).await(report.newestVersion(), timeout.get()),
+                    timeout.get());
         }
         return Either.right(report.result());
     }
--- a/wagtaillug-tool/src/main/java/org/wagtaillug/tool/ChangeReport.java
+++ b/wagtaillug-tool/src/main/java/org/wagtaillug/tool/ChangeReport.java
@@ -10,32 +10,32 @@
 import org.wagtaillug.settings.DurationText;
 import org.wagtaillug.tool.ChangeSender.Outcome;
 
-/** Collects what came of the changes of one command. */
+/** Collects the outcomes of the changes of one command. */
 final class ChangeReport {
     private final List<String> lines = new ArrayList<>();
     private final List<String> errors = new ArrayList<>();
     private final ObjectNode json = JsonNodeFactory.instance.objectNode();
     private final ArrayNode changes = json.putArray("changes");
-    private long newest;
+    private long newestVersion;
     private boolean failed;
 
-    /** The newest version that the command has met; 0 if none. */
-    long newest() {
-        return newest;
+    /** The newest version that a change of the command got or found in force; 0 if none. */
+    long newestVersion() {
+        return newestVersion;
     }
 
     boolean failed() {
         return failed;
     }
 
-    void unchanged(String key, long version) {
+    void addUnchanged(String key, long version) {
         lines.add(key + ": unchanged, version " + version);
         entry(key, "unchanged").put("version", version);
-        newest = Math.max(newest, version);
+        newestVersion = Math.max(newestVersion, version);
     }
 
-    void notSent(String key) {
-        errors.add(key + ": not sent, as one before it failed");
+    void addNotSent(String key) {
+        errors.add(key + ": not sent, because an earlier change failed");
         entry(key, "not-sent");
     }
 
@@ -43,63 +43,66 @@
         failed = !(outcome instanceof Outcome.Accepted);
         switch (outcome) {
             case Outcome.Accepted accepted -> {
-                newest = accepted.version();
+                newestVersion = accepted.version();
                 lines.add(key + ": accepted as version " + accepted.version());
                 entry(key, "accepted").put("version", accepted.version());
             }
-            case Outcome.Crossed crossed -> {
-                String winner =
-                        crossed.winner().map(version -> "version " + version).orElse("another change");
-                errors.add(key + ": not accepted: " + winner + " won; yours was made from version " + base
-                        + ". See diff and publish again");
+            case Outcome.Conflict conflict -> {
+                String currentVersion = conflict.currentVersion()
+                        .map(version -> "version " + version)
+                        .orElse("another change");
+                errors.add(key + ": not accepted: " + currentVersion + " is in force; this change is based on version "
+                        + base + ". Run diff and publish again");
                 ObjectNode entry = entry(key, "crossed").put("base", base);
-                crossed.winner().ifPresent(version -> entry.put("winner", version));
+                conflict.currentVersion().ifPresent(version -> entry.put("winner", version));
             }
-            case Outcome.Failed refused -> {
-                errors.add(key + ": not accepted: " + refused.failure().message());
-                entry(key, "failed").put("message", refused.failure().message());
+            case Outcome.Failed rejected -> {
+                errors.add(key + ": not accepted: " + rejected.failure().message());
+                entry(key, "failed").put("message", rejected.failure().message());
             }
-            case Outcome.Unknown unknown -> unknown(key, unknown);
+            case Outcome.Unknown unknown -> addUnknown(key, unknown);
         }
     }
 
-    private void unknown(String key, Outcome.Unknown unknown) {
-        String now = unknown.entry()
-                .map(entry -> "; it is now at version " + entry.version() + ", which "
-                        + (unknown.asSent() ? "holds what was sent" : "does not hold what was sent"))
+    private void addUnknown(String key, Outcome.Unknown unknown) {
+        String currentState = unknown.entry()
+                .map(entry -> "; the key is now at version " + entry.version() + ", which "
+                        + (unknown.matchesSent()
+                                ? "has the content that was sent"
+                                : "does not have the content that was sent"))
                 .orElse("");
-        errors.add(key + ": not known whether accepted (" + unknown.reason() + ")" + now);
+        errors.add(key + ": outcome unknown (" + unknown.reason() + ")" + currentState);
         ObjectNode entry = entry(key, "unknown").put("message", unknown.reason());
-        unknown.entry().ifPresent(shown -> entry.put("version", shown.version()));
-        entry.put("as_sent", unknown.asSent());
+        unknown.entry().ifPresent(current -> entry.put("version", current.version()));
+        entry.put("as_sent", unknown.matchesSent());
     }
 
     private ObjectNode entry(String key, String outcome) {
         return changes.addObject().put("key", key).put("outcome", outcome);
     }
 
-    void reach(Either<ToolFailure, ForceWait.Reach> reach, Duration timeout) {
-        if (reach.isLeft()) {
+    void addPropagation(Either<ToolFailure, PropagationWaiter.Propagation> result, Duration timeout) {
+        if (result.isLeft()) {
             failed = true;
-            errors.add("not known whether version " + newest + " is in force: "
-                    + reach.getLeft().message());
-            json.putObject("in_force").put("version", newest).put("in_force", false);
+            errors.add("cannot determine whether version " + newestVersion + " is in force: "
+                    + result.getLeft().message());
+            json.putObject("in_force").put("version", newestVersion).put("in_force", false);
             return;
         }
-        ForceWait.Reach known = reach.get();
-        String text = "in force on " + known.reached() + " of " + known.nodes() + " nodes";
-        ObjectNode entry = json.putObject("in_force").put("version", newest);
-        entry.put("in_force", known.everywhere());
-        entry.put("reached", known.reached()).put("nodes", known.nodes());
+        PropagationWaiter.Propagation propagation = result.get();
+        String text = "in force on " + propagation.reachedNodes() + " of " + propagation.totalNodes() + " nodes";
+        ObjectNode entry = json.putObject("in_force").put("version", newestVersion);
+        entry.put("in_force", propagation.isComplete());
+        entry.put("reached", propagation.reachedNodes()).put("nodes", propagation.totalNodes());
         ArrayNode names = entry.putArray("waiting_for");
-        known.waitingFor().forEach(names::add);
-        if (known.everywhere()) {
+        propagation.pendingNodes().forEach(names::add);
+        if (propagation.isComplete()) {
             lines.add(text);
             return;
         }
         failed = true;
         errors.add(text + " after " + DurationText.format(timeout) + "; waiting for "
-                + String.join(", ", known.waitingFor()));
+                + String.join(", ", propagation.pendingNodes()));
     }
 
     Result result() {
--- a/wagtaillug-tool/src/main/java/org/wagtaillug/tool/ChangeSender.java
+++ b/wagtaillug-tool/src/main/java/org/wagtaillug/tool/ChangeSender.java
@@ -12,64 +12,65 @@
 import org.wagtaillug.contract.Body;
 import org.wagtaillug.result.RunState;
 import org.wagtaillug.settings.Contracts;
-import org.wagtaillug.tool.AdministrationClient.Exchange;
+import org.wagtaillug.tool.AdministrationClient.CallResult;
 
-/** Sends one change so that it takes effect at most once, and finds out what came of it. */
+/** Sends a change so that it takes effect at most once, and determines its outcome. */
 final class ChangeSender {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String PATH = "/admin/changes";
-    private static final Duration PAUSE = Duration.ofMillis(200);
+    private static final Duration RESEND_INTERVAL = Duration.ofMillis(200);
 
     private final AdministrationClient client;
-    private final Surroundings surroundings;
+    private final ToolEnvironment environment;
     private final Duration timeout;
 
-    ChangeSender(AdministrationClient client, Surroundings surroundings, Duration timeout) {
+    ChangeSender(AdministrationClient client, ToolEnvironment environment, Duration timeout) {
         this.client = client;
-        this.surroundings = surroundings;
+        this.environment = environment;
         this.timeout = timeout;
     }
 
     /**
      * A change to send.
      *
-     * @param key what it changes
-     * @param base the version that it is made from
+     * @param key the key to change
+     * @param base the version that the change is based on
      * @param body the new body
      */
     record Change(String key, long base, Body body) {}
 
-    /** What came of a change. */
+    /** The outcome of a change. */
     sealed interface Outcome {
         /**
-         * It won.
+         * The change was accepted.
          *
-         * @param version its own, the key's newest
+         * @param version its version, now the newest of the key
          */
         record Accepted(long version) implements Outcome {}
 
         /**
-         * It was made from a version that was no longer the newest, and had no effect.
+         * The change was based on a version that was no longer the newest, and had no effect.
          *
-         * @param winner the version that is in force instead; empty if no node would say
+         * @param currentVersion the version in force instead; empty if the node did not report it
          */
-        record Crossed(Optional<Long> winner) implements Outcome {}
+        record Conflict(Optional<Long> currentVersion) implements Outcome {}
 
         /**
-         * It had no effect.
+         * The change failed and had no effect.
          *
          * @param failure why
          */
         record Failed(ToolFailure failure) implements Outcome {}
 
         /**
-         * Nobody could be found who knows.
+         * It could not be determined whether the change took effect.
          *
          * @param reason what went wrong
-         * @param entry what the key holds now; empty if no node would say or there is none
-         * @param asSent whether that is what was sent
+         * @param entry the current entry of the key; empty if no node responds or the key does not exist
+         * @param matchesSent whether the entry is newer than the base and equal to the body that was sent
          */
-        record Unknown(String reason, Optional<ConfigurationView.Entry> entry, boolean asSent) implements Outcome {}
+        record Unknown(String reason, Optional<ConfigurationView.Entry> entry, boolean matchesSent)
+                implements Outcome {}
     }
 
     /** Sends a change to the first node that can be reached. */
@@ -78,25 +79,25 @@
         List<String> reasons = new ArrayList<>();
         for (String node : client.nodes()) {
             switch (client.post(node, PATH, message)) {
-                case Exchange.Answered answered -> {
-                    if (answered.status() == AdministrationClient.OK) {
-                        return accepted(node, answered);
+                case CallResult.Response response -> {
+                    if (response.status() == AdministrationClient.OK) {
+                        return accepted(node, response);
                     }
-                    Answers.Refusal refusal = Answers.refusal(answered);
+                    ErrorResponses.Refusal refusal = ErrorResponses.parse(response);
                     if (refusal.run() != RunState.NOT_RUN) {
-                        return askAgain(node, change, message, refusal.message());
+                        return resend(node, change, message, refusal.message());
                     }
-                    if (refusal.crossed()) {
-                        return new Outcome.Crossed(winner(node, change.key()));
+                    if (refusal.isConflict()) {
+                        return new Outcome.Conflict(currentVersion(node, change.key()));
                     }
-                    if (!refusal.anotherNodeMayServe()) {
+                    if (!refusal.retryableOnOtherNode()) {
                         return new Outcome.Failed(refusal.failure(node));
                     }
                     reasons.add(node + ": " + refusal.message());
                 }
-                case Exchange.NotReached notReached -> reasons.add(node + ": " + notReached.reason());
-                case Exchange.Lost lost -> {
-                    return askAgain(node, change, message, lost.reason());
+                case CallResult.NotSent notSent -> reasons.add(node + ": " + notSent.reason());
+                case CallResult.NoResponse noResponse -> {
+                    return resend(node, change, message, noResponse.reason());
                 }
             }
         }
@@ -104,55 +105,56 @@
     }
 
     /**
-     * The answer was lost after the change may have taken effect; the operator would see an error though the change is in
-     * force, or send it twice. The same node is asked again with the same change id, which it answers with the outcome of
-     * the first sending. Another node is never sent the change: it might not know the id yet.
+     * Resends the change to the same node after a response was lost or the outcome was unknown. The change may have taken
+     * effect: without the resend, the operator would see an error for a change that is in force, or would send it twice. The
+     * resend has the same change id, so the node responds with the outcome of the first attempt. The change is never sent to
+     * another node, which might not know the id yet.
      */
-    private Outcome askAgain(String node, Change change, ObjectNode message, String firstReason) {
+    private Outcome resend(String node, Change change, ObjectNode message, String firstReason) {
         String reason = node + ": " + firstReason;
-        Instant latest = surroundings.time().instant().plus(timeout);
-        while (surroundings.time().instant().isBefore(latest)) {
-            surroundings.pause().pause(PAUSE);
-            Exchange exchange = client.post(node, PATH, message);
-            if (!(exchange instanceof Exchange.Answered answered)) {
+        Instant deadline = environment.clock().instant().plus(timeout);
+        while (environment.clock().instant().isBefore(deadline)) {
+            environment.sleeper().sleep(RESEND_INTERVAL);
+            CallResult result = client.post(node, PATH, message);
+            if (!(result instanceof CallResult.Response response)) {
                 continue;
             }
-            if (answered.status() == AdministrationClient.OK) {
-                return accepted(node, answered);
+            if (response.status() == AdministrationClient.OK) {
+                return accepted(node, response);
             }
-            Answers.Refusal refusal = Answers.refusal(answered);
+            ErrorResponses.Refusal refusal = ErrorResponses.parse(response);
             reason = node + ": " + refusal.message();
             if (refusal.run() == RunState.NOT_RUN) {
                 break;
             }
         }
-        return unknown(change, reason);
+        return unknownOutcome(change, reason);
     }
 
     /**
-     * Also a refusal of the second sending ends here: a node that was started anew in between does not know the first one
-     * and would call the change crossed by itself.
+     * The outcome is unknown also when the resend is refused: a node that restarted in between no longer knows the change id
+     * and reports a conflict with the change's own first attempt.
      */
-    private Outcome unknown(Change change, String reason) {
+    private Outcome unknownOutcome(Change change, String reason) {
         Optional<ConfigurationView> view = ConfigurationView.read(client).toJavaOptional();
-        Optional<ConfigurationView.Entry> entry = view.flatMap(shown -> shown.entry(change.key()));
-        boolean asSent = entry.isPresent()
+        Optional<ConfigurationView.Entry> entry = view.flatMap(configuration -> configuration.entry(change.key()));
+        boolean matchesSent = entry.isPresent()
                 && entry.get().version() > change.base()
-                && entry.get().holds(change.body());
-        return new Outcome.Unknown(reason, entry, asSent);
+                && entry.get().hasBody(change.body());
+        return new Outcome.Unknown(reason, entry, matchesSent);
     }
 
-    /** Asks the node that refused: another one may not have read the winner yet. */
-    private Optional<Long> winner(String node, String key) {
+    /** Reads from the node that refused the change: another one may not have read the conflicting change yet. */
+    private Optional<Long> currentVersion(String node, String key) {
         return ConfigurationView.read(client, node).map(view -> view.version(key));
     }
 
-    private static Outcome accepted(String node, Exchange.Answered answered) {
-        long version = answered.body().path("version").asLong(0);
+    private static Outcome accepted(String node, CallResult.Response response) {
+        long version = response.body().path("version").asLong(0);
         if (version > 0) {
             return new Outcome.Accepted(version);
         }
-        String reason = node + ": the answer names no version";
+        String reason = node + ": the response contains no version";
         return new Outcome.Unknown(reason, Optional.empty(), false);
     }
 
@@ -163,8 +165,8 @@
         message.put("change_id", UUID.randomUUID().toString());
         try {
             message.set("body", JSON.readTree(Contracts.toJson(change.body())));
-        } catch (JsonProcessingException fault) {
-            throw new IllegalStateException("a body's own JSON cannot be read", fault);
+        } catch (JsonProcessingException exception) {
+            throw new IllegalStateException("cannot parse the JSON generated from a contract body", exception);
         }
         return message;
     }
--- a/wagtaillug-tool/src/main/java/org/wagtaillug/tool/Command.java
+++ b/wagtaillug-tool/src/main/java/org/wagtaillug/tool/Command.java
@@ -6,29 +6,31 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A command with its arguments, as the command line gave them. */
+/** A command with its arguments as given on the command line. */
 sealed interface Command {
     /** The command's name on the command line. */
     String name();
 
-    /** A command that asks no node. */
+    /** A command that does not contact any node. */
     sealed interface Offline extends Command {}
 
-    /** A command that asks nodes. */
+    /** A command that contacts nodes. */
     sealed interface Online extends Command {}
 
-    /** How a change is sent and waited for. */
+    /** Options of the commands that change the configuration. */
     @Parameters(separators = "=")
     final class ChangeOptions {
         @Parameter(
                 names = "--base",
-                description = "The version that the change is made from. Default: the one that is in force now")
+                description = "The version that the change is based on. Default: the version in force")
         private Long base;
 
-        @Parameter(names = "--wait", description = "Waits until every live node has the change in force")
+        @Parameter(names = "--wait", description = "Wait until the change is in force on every live node")
         private boolean waits;
 
-        @Parameter(names = "--timeout", description = "The longest wait for an outcome, and for it to be in force")
+        @Parameter(
+                names = "--timeout",
+                description = "The maximum wait for the outcome of each change, and for it to be in force")
         private String timeout = "5s";
 
         Long base() {
@@ -44,7 +46,7 @@
         }
     }
 
-    /** Makes what files hold the configuration in force. */
+    /** Publishes the contracts in files. */
     @Parameters(commandDescription = "Publishes templates, customers, pools and placements", separators = "=")
     final class Publish implements Online {
         @Parameter(description = "FILE...")
@@ -67,9 +69,9 @@
         }
     }
 
-    /** Checks files without a node. */
+    /** Checks files without contacting a node. */
     @Parameters(
-            commandDescription = "Checks files of contracts or of a node's settings; asks no node",
+            commandDescription = "Checks files of contracts or node settings, without contacting a node",
             separators = "=")
     final class Validate implements Offline {
         @Parameter(description = "FILE...")
@@ -85,7 +87,7 @@
         }
     }
 
-    /** Compares files with what is in force. */
+    /** Compares files with the configuration in force. */
     @Parameters(commandDescription = "Shows what publishing the files would change", separators = "=")
     final class Diff implements Online {
         @Parameter(description = "FILE...")
@@ -101,7 +103,7 @@
         }
     }
 
-    /** Shows what is in force. */
+    /** Shows the configuration in force. */
     @Parameters(commandDescription = "Shows the configuration in force, or one key of it", separators = "=")
     final class Show implements Online {
         @Parameter(description = "[KEY]")
@@ -117,7 +119,7 @@
         }
     }
 
-    /** Takes a key out of the configuration. */
+    /** Removes a key from the configuration. */
     @Parameters(commandDescription = "Removes a key from the configuration", separators = "=")
     final class Remove implements Online {
         @Parameter(description = "KEY")
@@ -144,9 +146,9 @@
     @Parameters(commandDescription = "Takes a failure domain out of service or brings it back", separators = "=")
     final class Domain implements Online {
         @Parameter(description = "out|back DOMAIN")
-        private List<String> words = new ArrayList<>();
+        private List<String> arguments = new ArrayList<>();
 
-        @Parameter(names = "--unlisted", description = "Accepts a name that no node has seen")
+        @Parameter(names = "--unlisted", description = "Accept a name that no node reports")
         private boolean unlisted;
 
         @ParametersDelegate
@@ -161,8 +163,8 @@
             return unlisted;
         }
 
-        List<String> words() {
-            return words;
+        List<String> arguments() {
+            return arguments;
         }
 
         ChangeOptions change() {
@@ -174,9 +176,9 @@
     @Parameters(commandDescription = "Takes a VM out of service or brings it back", separators = "=")
     final class Vm implements Online {
         @Parameter(description = "out|back VM")
-        private List<String> words = new ArrayList<>();
+        private List<String> arguments = new ArrayList<>();
 
-        @Parameter(names = "--unlisted", description = "Accepts a name that no node has seen")
+        @Parameter(names = "--unlisted", description = "Accept a name that no node reports")
         private boolean unlisted;
 
         @ParametersDelegate
@@ -191,8 +193,8 @@
             return unlisted;
         }
 
-        List<String> words() {
-            return words;
+        List<String> arguments() {
+            return arguments;
         }
 
         ChangeOptions change() {
@@ -201,7 +203,9 @@
     }
 
     /** Shows the nodes. */
-    @Parameters(commandDescription = "Shows the nodes and how far each has read the configuration", separators = "=")
+    @Parameters(
+            commandDescription = "Shows the nodes and the configuration offset that each has read",
+            separators = "=")
     final class Nodes implements Online {
         @Override
         public String name() {
@@ -218,7 +222,7 @@
         }
     }
 
-    /** Shows who owns what. */
+    /** Shows which node owns which upstream. */
     @Parameters(commandDescription = "Shows which node owns which upstream", separators = "=")
     final class Ownership implements Online {
         @Override
@@ -227,8 +231,8 @@
         }
     }
 
-    /** Shows what is in flight. */
-    @Parameters(commandDescription = "Shows the requests in flight at the node", separators = "=")
+    /** Shows the requests in flight. */
+    @Parameters(commandDescription = "Shows the requests in flight at the nodes", separators = "=")
     final class Requests implements Online {
         @Override
         public String name() {
@@ -236,8 +240,8 @@
         }
     }
 
-    /** Explains one request. */
-    @Parameters(commandDescription = "Shows what the nodes decided about a request, and why", separators = "=")
+    /** Shows the decisions about one request. */
+    @Parameters(commandDescription = "Shows the nodes' decisions about a request and their reasons", separators = "=")
     final class Why implements Online {
         @Parameter(description = "REQUEST")
         private List<String> requests = new ArrayList<>();
@@ -252,25 +256,26 @@
         }
     }
 
-    /** Compares what the nodes hold. */
+    /** Compares the configurations of the nodes. */
     @Parameters(commandDescription = "Shows the digest of the configuration of every --node", separators = "=")
     final class Config implements Online {
         @Parameter(description = "digest")
-        private List<String> words = new ArrayList<>();
+        private List<String> arguments = new ArrayList<>();
 
         @Override
         public String name() {
             return "config";
         }
 
-        List<String> words() {
-            return words;
+        List<String> arguments() {
+            return arguments;
         }
     }
 
-    /** Adds up the logs of nodes. */
+    /** Summarizes the log files of nodes. */
     @Parameters(
-            commandDescription = "Shows from the nodes' log files where the time of requests went; asks no node",
+            commandDescription =
+                    "Shows from the nodes' log files where requests spent their time, without contacting a node",
             separators = "=")
     final class Account implements Offline {
         @Parameter(description = "FILE...")
@@ -286,8 +291,8 @@
         }
     }
 
-    /** Helps a shell. */
-    @Parameters(commandDescription = "Prints a script that completes commands and long options", separators = "=")
+    /** Prints a shell completion script. */
+    @Parameters(commandDescription = "Prints a shell completion script for commands and long options", separators = "=")
     final class Completion implements Offline {
         @Parameter(description = "bash")
         private List<String> shells = new ArrayList<>();
--- a/wagtaillug-tool/src/main/java/org/wagtaillug/tool/CommandLine.java
+++ b/wagtaillug-tool/src/main/java/org/wagtaillug/tool/CommandLine.java
@@ -17,12 +17,12 @@
 import java.util.TreeMap;
 import org.wagtaillug.settings.NearestName;
 
-/** Reads the arguments. Long names of options may be cut short as long as they stay unmistakable. */
+/** Parses the command line. Long option names may be abbreviated as long as they are unambiguous. */
 final class CommandLine {
     static final String PROGRAM = "wagtaillugctl";
 
     private static final String VERSION = "--version";
-    private static final int GAP = 2;
+    private static final int COLUMN_GAP = 2;
 
     private final ConnectionOptions connection = new ConnectionOptions();
     private final GlobalOptions global = new GlobalOptions(connection);
@@ -32,7 +32,7 @@
     CommandLine() {
         JCommander.Builder builder =
                 JCommander.newBuilder().programName(PROGRAM).addObject(global);
-        for (Command command : all()) {
+        for (Command command : allCommands()) {
             commands.put(command.name(), command);
             builder.addCommand(command.name(), new Object[] {command, connection});
         }
@@ -45,13 +45,13 @@
         }
     }
 
-    /** The options that stand before a command. */
+    /** The options that are accepted before the command. */
     @Parameters(separators = "=")
     private static final class GlobalOptions {
         @ParametersDelegate
         private final ConnectionOptions connection;
 
-        @Parameter(names = VERSION, description = "Shows the version")
+        @Parameter(names = VERSION, description = "Show the version")
         private boolean version;
 
         GlobalOptions(ConnectionOptions connection) {
@@ -59,7 +59,7 @@
         }
     }
 
-    private static List<Command> all() {
+    private static List<Command> allCommands() {
         return List.of(
                 new Command.Publish(),
                 new Command.Validate(),
@@ -78,45 +78,45 @@
                 new Command.Completion());
     }
 
-    /** What the arguments ask for. */
-    sealed interface Wish {
+    /** The action requested by the arguments. */
+    sealed interface Invocation {
         /**
-         * How to use the tool or a command.
+         * Prints the help for the tool or a command.
          *
-         * @param text what to print
+         * @param text the help text
          */
-        record Help(String text) implements Wish {}
+        record Help(String text) implements Invocation {}
 
-        /** Which version this is. */
-        record Version() implements Wish {}
+        /** Prints the version. */
+        record Version() implements Invocation {}
 
         /**
-         * To do something.
+         * Runs a command.
          *
-         * @param command what
-         * @param connection where
+         * @param command the command
+         * @param connection the options for the connection to the nodes
          */
-        record Run(Command command, ConnectionOptions connection) implements Wish {}
+        record Run(Command command, ConnectionOptions connection) implements Invocation {}
     }
 
-    Either<ToolFailure, Wish> parse(String[] arguments) {
-        Optional<ToolFailure> unknownOption = unknownOption(arguments);
+    Either<ToolFailure, Invocation> parse(String[] arguments) {
+        Optional<ToolFailure> unknownOption = findUnknownOption(arguments);
         if (unknownOption.isPresent()) {
             return Either.left(unknownOption.get());
         }
         try {
             parser.parse(arguments);
-        } catch (MissingCommandException fault) {
-            return Either.left(unknownCommand(fault.getUnknownCommand()));
-        } catch (ParameterException fault) {
-            return Either.left(usage(fault.getMessage()));
+        } catch (MissingCommandException exception) {
+            return Either.left(unknownCommandFailure(exception.getUnknownCommand()));
+        } catch (ParameterException exception) {
+            return Either.left(usage(exception.getMessage()));
         }
         String name = parser.getParsedCommand();
         if (connection.help()) {
-            return Either.right(new Wish.Help(help(Optional.ofNullable(name))));
+            return Either.right(new Invocation.Help(help(Optional.ofNullable(name))));
         }
         if (global.version) {
-            return Either.right(new Wish.Version());
+            return Either.right(new Invocation.Version());
         }
         if (name == null) {
             return Either.left(usage("found no command; expected one of " + String.join(", ", commands.keySet())));
@@ -128,10 +128,10 @@
         if (missing.isPresent()) {
             return Either.left(usage(name + ": found no argument; expected " + missing.get()));
         }
-        return Either.right(new Wish.Run(commands.get(name), connection));
+        return Either.right(new Invocation.Run(commands.get(name), connection));
     }
 
-    /** What a command needs and was not given; descriptions of arguments that may be left out begin with a bracket. */
+    /** The description of the required argument that is missing; descriptions of optional arguments start with a bracket. */
     private static Optional<String> missingArgument(JCommander command) {
         ParameterDescription main = command.getMainParameterValue();
         if (main == null || main.getDescription().startsWith("[")) {
@@ -142,14 +142,15 @@
     }
 
     /**
-     * Looks for a mistyped option before the arguments are parsed: a command that takes a list would take it for a file.
+     * Finds a mistyped option before the arguments are parsed: a command that takes a list of files would treat the option
+     * as a file.
      */
-    private Optional<ToolFailure> unknownOption(String[] arguments) {
+    private Optional<ToolFailure> findUnknownOption(String[] arguments) {
         Map<String, Boolean> takesValue = takesValue();
-        boolean value = false;
+        boolean expectsValue = false;
         for (String argument : arguments) {
-            if (value || !argument.startsWith("-")) {
-                value = false;
+            if (expectsValue || !argument.startsWith("-")) {
+                expectsValue = false;
                 continue;
             }
             String name = argument.contains("=") ? argument.substring(0, argument.indexOf('=')) : argument;
@@ -157,26 +158,26 @@
                     .filter(known -> name.startsWith("--") && known.startsWith(name))
                     .findFirst();
             if (option.isEmpty()) {
-                return Optional.of(unknownOption(name, takesValue.keySet()));
+                return Optional.of(unknownOptionFailure(name, takesValue.keySet()));
             }
-            value = takesValue.get(option.get()) && !argument.contains("=");
+            expectsValue = takesValue.get(option.get()) && !argument.contains("=");
         }
         return Optional.empty();
     }
 
-    private static ToolFailure unknownOption(String name, Set<String> known) {
+    private static ToolFailure unknownOptionFailure(String name, Set<String> known) {
         String expected = "found the option \"" + name + "\"; expected one of " + String.join(", ", known);
         Optional<String> nearest = NearestName.of(name, known);
         return usage(expected
                 + nearest.map(option -> "; did you mean \"" + option + "\"?").orElse(""));
     }
 
-    /** All options, and whether a value follows each. */
+    /** All options, each with whether it takes a value. */
     private Map<String, Boolean> takesValue() {
         Map<String, Boolean> options = new TreeMap<>();
         options.put(VERSION, false);
-        for (JCommander each : parser.getCommands().values()) {
-            for (ParameterDescription parameter : each.getParameters()) {
+        for (JCommander command : parser.getCommands().values()) {
+            for (ParameterDescription parameter : command.getParameters()) {
                 boolean flag = parameter.getParameterized().getType() == boolean.class;
                 options.put(parameter.getLongestName(), !flag);
             }
@@ -184,7 +185,7 @@
         return options;
     }
 
-    private ToolFailure unknownCommand(String found) {
+    private ToolFailure unknownCommandFailure(String found) {
         String expected =
                 "found the command \"" + found + "\"; expected one of " + String.join(", ", commands.keySet());
         Optional<String> nearest = NearestName.of(found, commands.keySet());
@@ -210,7 +211,7 @@
         text.append("Usage: ").append(PROGRAM).append(" [options] COMMAND [arguments]\n\nCommands:\n");
         int width = commands.keySet().stream().mapToInt(String::length).max().orElse(0);
         for (String name : commands.keySet()) {
-            String padding = " ".repeat(width - name.length() + GAP);
+            String padding = " ".repeat(width - name.length() + COLUMN_GAP);
             String description = parser.getUsageFormatter().getCommandDescription(name);
             text.append("  ").append(name).append(padding).append(description).append('\n');
         }
@@ -219,12 +220,12 @@
             text.append("  ").append(option.getLongestName()).append("\n      ");
             text.append(option.getDescription()).append('\n');
         }
-        text.append("\nExit codes: 0 ok; 1 failed, refused or not known; 2 wrong usage.\n");
-        text.append("More of one command: ").append(PROGRAM).append(" COMMAND --help");
+        text.append("\nExit codes: 0 success; 1 failure, refusal or unknown outcome; 2 invalid usage.\n");
+        text.append("Help for a command: ").append(PROGRAM).append(" COMMAND --help");
         return text.toString();
     }
 
-    /** The long options of each command, for completion. */
+    /** The long options of each command, for shell completion. */
     Map<String, List<String>> optionsByCommand() {
         Map<String, List<String>> options = new LinkedHashMap<>();
         for (Map.Entry<String, JCommander> command : parser.getCommands().entrySet()) {
--- a/wagtaillug-tool/src/main/java/org/wagtaillug/tool/ConfigurationView.java
+++ b/wagtaillug-tool/src/main/java/org/wagtaillug/tool/ConfigurationView.java
@@ -7,64 +7,64 @@
 import java.util.Optional;
 import org.wagtaillug.contract.Body;
 import org.wagtaillug.settings.Contracts;
-import org.wagtaillug.tool.AdministrationClient.Exchange;
+import org.wagtaillug.tool.AdministrationClient.CallResult;
 
 /**
- * The configuration as one node shows it.
+ * The configuration as reported by one node.
  *
- * @param through the offset up to which the node has read
- * @param digest of all of it
- * @param entries by key, removed ones included
+ * @param offset the offset up to which the node has read the control stream
+ * @param digest the digest of the whole configuration
+ * @param entries the entries by key, including removed ones
  */
-record ConfigurationView(long through, String digest, Map<String, Entry> entries) {
+record ConfigurationView(long offset, String digest, Map<String, Entry> entries) {
     static final String PATH = "/admin/configuration";
 
     private static final String REMOVED = "removed";
 
     /**
-     * One key.
+     * The entry of one key.
      *
-     * @param version the offset of the change that won last
-     * @param body its JSON form; kept as it came, as the node may know kinds that this tool does not
+     * @param version the offset of the last accepted change
+     * @param body the body as received, because the node may know kinds that this tool does not
      */
     record Entry(long version, JsonNode body) {
         boolean removed() {
             return body.path("kind").asText().equals(REMOVED);
         }
 
-        boolean holds(Body other) {
+        boolean hasBody(Body other) {
             return Contracts.fromJson(body.toString()).map(other::equals).getOrElse(false);
         }
     }
 
     static Either<ToolFailure, ConfigurationView> read(AdministrationClient client) {
-        return client.get(PATH).map(ConfigurationView::of);
+        return client.get(PATH).map(ConfigurationView::parse);
     }
 
-    /** What one certain node has in force; empty if it does not answer. */
+    /** The configuration in force at the given node; empty if the node does not respond successfully. */
     static Optional<ConfigurationView> read(AdministrationClient client, String node) {
-        if (client.get(node, PATH) instanceof Exchange.Answered answered
-                && answered.status() == AdministrationClient.OK) {
-            return Optional.of(of(answered.body()));
+        if (client.get(node, PATH) instanceof CallResult.Response response
+                && response.status() == AdministrationClient.OK) {
+            return Optional.of(parse(response.body()));
         }
         return Optional.empty();
     }
 
-    private static ConfigurationView of(JsonNode answer) {
+    private static ConfigurationView parse(JsonNode response) {
         Map<String, Entry> entries = new LinkedHashMap<>();
-        for (JsonNode entry : answer.path("entries")) {
+        for (JsonNode entry : response.path("entries")) {
             entries.put(
                     entry.path("key").asText(), new Entry(entry.path("version").asLong(), entry.path("body")));
         }
         return new ConfigurationView(
-                answer.path("through").asLong(), answer.path("digest").asText(), entries);
+                response.path("through").asLong(), response.path("digest").asText(), entries);
     }
 
     Optional<Entry> entry(String key) {
         return Optional.ofNullable(entries.get(key));
     }
 
-    /** The version of a key; 0 if it never was. */
+    /** The version of a key; 0 if the key never existed. */
     long version(String key) {
         return entry(key).map(Entry::version).orElse(0L);
     }
--- a/wagtaillug-tool/src/main/java/org/wagtaillug/tool/ContractFiles.java
+++ b/wagtaillug-tool/src/main/java/org/wagtaillug/tool/ContractFiles.java
@@ -14,36 +14,36 @@
 import org.wagtaillug.settings.Contracts;
 import org.wagtaillug.settings.SettingsProblem;
 
-/** Reads the files that the command line names. */
+/** Reads the files given on the command line. */
 final class ContractFiles {
     private ContractFiles() {}
 
-    static Either<ToolFailure, String> text(String name) {
+    static Either<ToolFailure, String> read(String name) {
         try {
             return Either.right(Files.readString(Path.of(name)));
-        } catch (IOException | InvalidPathException fault) {
-            String reason = fault.getClass().getSimpleName();
+        } catch (IOException | InvalidPathException exception) {
+            String reason = exception.getClass().getSimpleName();
             return Either.left(CommandLine.usage(
                     "found the file " + name + ", which cannot be read (" + reason + "); expected a file in UTF-8"));
         }
     }
 
-    /** All bodies of all files in their order; a key may stand in one file only. */
+    /** Parses the bodies of all files in order; reports a key that occurs more than once as a problem. */
     static Either<ToolFailure, List<Body>> bodies(List<String> names) {
         List<Body> bodies = new ArrayList<>();
         List<SettingsProblem> problems = new ArrayList<>();
-        Map<String, String> files = new HashMap<>();
+        Map<String, String> fileByKey = new HashMap<>();
         for (String name : names) {
-            Either<ToolFailure, String> text = text(name);
+            Either<ToolFailure, String> text = read(name);
             if (text.isLeft()) {
                 return Either.left(text.getLeft());
             }
             Either<List<SettingsProblem>, List<Body>> parsed = Contracts.parse(text.get(), name);
             problems.addAll(parsed.swap().getOrElse(List.of()));
             for (Body body : parsed.getOrElse(List.of())) {
-                String earlier = files.putIfAbsent(body.key(), name);
-                if (earlier != null) {
-                    problems.add(twice(name, body.key(), earlier));
+                String firstFile = fileByKey.putIfAbsent(body.key(), name);
+                if (firstFile != null) {
+                    problems.add(duplicateKey(name, body.key(), firstFile));
                 }
                 bodies.add(body);
             }
@@ -51,7 +51,8 @@
         return problems.isEmpty() ? Either.right(bodies) : Either.left(new ToolFailure.Invalid(problems));
     }
 
-    private static SettingsProblem twice(String file, String key, String earlier) {
-        return new SettingsProblem(file, 1, "", key + " again", "it once, as in " + earlier, Optional.empty());
+    private static SettingsProblem duplicateKey(String file, String key, String firstFile) {
+        return new SettingsProblem(
+                file, 1, "", key + " more than once", "one definition; the first is in " + firstFile, Optional.empty());
     }
 }
--- a/wagtaillug-tool/src/main/java/org/wagtaillug/tool/Answers.java
+++ b/wagtaillug-tool/src/main/java/org/wagtaillug/tool/ErrorResponses.java
@@ -4,28 +4,28 @@
 import java.time.Duration;
 import org.wagtaillug.result.ResultCode;
 import org.wagtaillug.result.RunState;
-import org.wagtaillug.tool.AdministrationClient.Exchange;
+import org.wagtaillug.tool.AdministrationClient.CallResult;
 
-/** Reads the nodes' refusals. */
-final class Answers {
-    private Answers() {}
+/** Parses the error responses of nodes. */
+final class ErrorResponses {
+    private ErrorResponses() {}
 
     /**
-     * A refusal as docs/API.md gives it.
+     * An error response as specified in docs/API.md.
      *
      * @param status the HTTP status
-     * @param code the result code; 0 if the answer names none
-     * @param run whether the call took effect; unknown if the answer does not say so
-     * @param message the node's words
-     * @param retryAfter when it is worth coming back; zero when it is not
+     * @param code the result code; 0 if the response has none
+     * @param run whether the call took effect; unknown if the response does not say
+     * @param message the node's error message
+     * @param retryAfter the delay after which to retry; zero if a retry is not recommended
      */
     record Refusal(int status, int code, RunState run, String message, Duration retryAfter) {
-        boolean crossed() {
+        boolean isConflict() {
             return code == ResultCode.CHANGE_CROSSED.number();
         }
 
-        /** Whether it speaks of the state of this one node, so that another may do what it could not. */
-        boolean anotherNodeMayServe() {
+        /** Whether the error is caused by the state of this one node, so that another node may serve the call. */
+        boolean retryableOnOtherNode() {
             return code == ResultCode.LOG_UNAVAILABLE.number()
                     || code == ResultCode.SHUTTING_DOWN.number()
                     || code == ResultCode.NODE_CUT_OFF.number()
@@ -37,11 +37,11 @@
         }
     }
 
-    static Refusal refusal(Exchange.Answered answered) {
-        JsonNode body = answered.body();
-        String message = body.path("message").asText("status " + answered.status() + " without a message");
+    static Refusal parse(CallResult.Response response) {
+        JsonNode body = response.body();
+        String message = body.path("message").asText("status " + response.status() + " without a message");
         Duration retryAfter = Duration.ofMillis(body.path("retry_after_millis").asLong(0));
-        return new Refusal(answered.status(), body.path("result_code").asInt(0), run(body), message, retryAfter);
+        return new Refusal(response.status(), body.path("result_code").asInt(0), run(body), message, retryAfter);
     }
 
     private static RunState run(JsonNode body) {
--- a/wagtaillug-tool/src/main/java/org/wagtaillug/tool/ExitCode.java
+++ b/wagtaillug-tool/src/main/java/org/wagtaillug/tool/ExitCode.java
@@ -1,12 +1,12 @@
 package org.wagtaillug.tool;
 
-/** The exit codes; scripts rely on them. */
+/** The exit codes of the process; scripts rely on them. */
 enum ExitCode {
-    /** All that was asked for is so. */
+    /** The command succeeded completely. */
     OK(0),
-    /** It failed, was refused, or is not known to be so. */
+    /** The command failed or was refused, or its outcome is unknown. */
     FAILED(1),
-    /** The command line is wrong. */
+    /** The command line is invalid. */
     USAGE(2);
 
     private final int number;
--- a/wagtaillug-tool/src/main/java/org/wagtaillug/tool/FileCommands.java
+++ b/wagtaillug-tool/src/main/java/org/wagtaillug/tool/FileCommands.java
@@ -16,18 +16,18 @@
 import org.wagtaillug.settings.SettingsProblem;
 import org.wagtaillug.tool.account.AccountCommand;
 
-/** The commands that ask no node. */
+/** The commands that read files and do not contact any node. */
 final class FileCommands {
-    private static final Pattern KIND = Pattern.compile("(?m)^\\s*[{]?\\s*\"?kind\"?\\s*:");
+    private static final Pattern KIND_FIELD = Pattern.compile("(?m)^\\s*[{]?\\s*\"?kind\"?\\s*:");
 
     private FileCommands() {}
 
-    /** Checks each file as what it is: contracts name their kind, a node's settings have no such field. */
+    /** Checks each file as contracts or as node settings: only contracts have the field {@code kind}. */
     static Either<ToolFailure, Result> validate(List<String> names) {
         List<String> lines = new ArrayList<>();
         List<SettingsProblem> problems = new ArrayList<>();
         for (String name : names) {
-            Either<ToolFailure, String> text = ContractFiles.text(name);
+            Either<ToolFailure, String> text = ContractFiles.read(name);
             if (text.isLeft()) {
                 return Either.left(text.getLeft());
             }
@@ -40,7 +40,7 @@
         return Either.right(new Result(String.join("\n", lines), errors, json(problems), exitCode));
     }
 
-    /** Shows where the time of requests went, as the log files of nodes tell it. */
+    /** Summarizes from the log files of nodes where requests spent their time. */
     static Either<ToolFailure, Result> account(List<String> names) {
         return AccountCommand.of(names)
                 .<ToolFailure>mapLeft(ToolFailure.NotFound::new)
@@ -63,7 +63,7 @@
         return String.join(", ", counts) + "\n\n" + String.join("\n\n", texts);
     }
 
-    /** All fields of the rows, in the order in which they come first. */
+    /** All fields of the rows, in the order of their first occurrence. */
     private static List<String> columns(JsonNode rows) {
         Set<String> columns = new LinkedHashSet<>();
         rows.forEach(row -> row.fieldNames().forEachRemaining(columns::add));
@@ -71,7 +71,7 @@
     }
 
     private static Either<List<SettingsProblem>, String> check(String text, String name) {
-        if (KIND.matcher(text).find()) {
+        if (KIND_FIELD.matcher(text).find()) {
             return Contracts.parse(text, name).map(bodies -> "valid, " + bodies.size() + " contracts");
         }
         return NodeSettings.parse(text, name)
--- a/wagtaillug-tool/src/main/java/org/wagtaillug/tool/Main.java
+++ b/wagtaillug-tool/src/main/java/org/wagtaillug/tool/Main.java
@@ -6,9 +6,12 @@
 public final class Main {
     private Main() {}
 
-    /** Runs one command and ends the process with its exit code: 0 ok, 1 failed or refused, 2 wrong usage. */
+    /**
+     * Runs one command and ends the process with its exit code: 0 success; 1 failure, refusal or unknown outcome; 2 invalid
+     * usage.
+     */
     public static void main(String[] arguments) {
         LogSetup.jsonLines(System.err, System.Logger.Level.ERROR);
-        System.exit(new Tool(Surroundings.ofProcess()).run(arguments));
+        System.exit(new Tool(ToolEnvironment.ofProcess()).run(arguments));
     }
 }
--- a/wagtaillug-tool/src/main/java/org/wagtaillug/tool/Result.java
+++ b/wagtaillug-tool/src/main/java/org/wagtaillug/tool/Result.java
@@ -3,12 +3,12 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * What a command has to show.
+ * The result of a command.
  *
- * @param text for people
- * @param errors for people, on the error stream; empty if there is nothing to say
- * @param json the same for programs
- * @param exitCode what the process ends with
+ * @param text the output in text form
+ * @param errors the text for the error stream; empty if there are no errors
+ * @param json the output in JSON form
+ * @param exitCode the exit code of the process
  */
 record Result(String text, String errors, JsonNode json, ExitCode exitCode) {
     static Result ok(String text, JsonNode json) {
--- a/wagtaillug-tool/src/main/java/org/wagtaillug/tool/Table.java
+++ b/wagtaillug-tool/src/main/java/org/wagtaillug/tool/Table.java
@@ -4,14 +4,14 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Lays out a list of JSON objects in columns. */
+/** Formats a list of JSON objects as a text table. */
 final class Table {
-    private static final String GAP = "  ";
+    private static final String COLUMN_GAP = "  ";
 
     private final List<String> columns;
     private final List<List<String>> rows = new ArrayList<>();
 
-    /** A table with one column for each named field. */
+    /** Creates a table with one column for each of the given fields. */
     Table(List<String> columns) {
         this.columns = List.copyOf(columns);
         rows.add(columns.stream().map(name -> name.replace('_', ' ')).toList());
@@ -52,7 +52,7 @@
                 String cell = row.get(column);
                 line.append(cell)
                         .append(" ".repeat(widths[column] - cell.length()))
-                        .append(GAP);
+                        .append(COLUMN_GAP);
             }
             text.append(text.isEmpty() ? "" : "\n").append(line.toString().stripTrailing());
         }
--- a/wagtaillug-tool/src/main/java/org/wagtaillug/tool/Tool.java
+++ b/wagtaillug-tool/src/main/java/org/wagtaillug/tool/Tool.java
@@ -12,38 +12,39 @@
 import java.util.Optional;
 import java.util.Properties;
 
-/** Carries out one command line and says what came of it. */
+/** Runs one command line and prints its result. */
 final class Tool {
-    private final Surroundings surroundings;
+    private final ToolEnvironment environment;
 
-    Tool(Surroundings surroundings) {
-        this.surroundings = surroundings;
+    Tool(ToolEnvironment environment) {
+        this.environment = environment;
     }
 
-    /** The exit code of the command line. */
+    /** Runs the command line and returns the exit code. */
     int run(String... arguments) {
         CommandLine commandLine = new CommandLine();
-        Either<ToolFailure, CommandLine.Wish> wish = commandLine.parse(arguments);
-        if (wish.isLeft()) {
-            return fail(wish.getLeft(), false);
+        Either<ToolFailure, CommandLine.Invocation> invocation = commandLine.parse(arguments);
+        if (invocation.isLeft()) {
+            return printFailure(invocation.getLeft(), false);
         }
-        return switch (wish.get()) {
-            case CommandLine.Wish.Help help -> say(help.text());
-            case CommandLine.Wish.Version ignored -> say(CommandLine.PROGRAM + " " + version());
-            case CommandLine.Wish.Run run -> {
+        return switch (invocation.get()) {
+            case CommandLine.Invocation.Help help -> print(help.text());
+            case CommandLine.Invocation.Version ignored -> print(CommandLine.PROGRAM + " " + version());
+            case CommandLine.Invocation.Run run -> {
                 boolean json = run.connection().output().equals("json");
-                Either<ToolFailure, Result> result = result(run.command(), run.connection(), commandLine);
-                yield result.isRight() ? show(result.get(), json) : fail(result.getLeft(), json);
+                Either<ToolFailure, Result> result = execute(run.command(), run.connection(), commandLine);
+                yield result.isRight() ? printResult(result.get(), json) : printFailure(result.getLeft(), json);
             }
         };
     }
 
-    private Either<ToolFailure, Result> result(Command command, ConnectionOptions connection, CommandLine commandLine) {
+    private Either<ToolFailure, Result> execute(
+            Command command, ConnectionOptions connection, CommandLine commandLine) {
         return switch (command) {
             case Command.Validate validate -> FileCommands.validate(validate.files());
             case Command.Account account -> FileCommands.account(account.files());
             case Command.Completion completion -> completion(completion.shells(), commandLine);
-            case Command.Online online -> overConnection(online, connection);
+            case Command.Online online -> connectAndExecute(online, connection);
         };
     }
 
@@ -57,13 +58,13 @@
                 Result.ok(script, JsonNodeFactory.instance.objectNode().put("script", script)));
     }
 
-    private Either<ToolFailure, Result> overConnection(Command.Online command, ConnectionOptions options) {
-        Either<ToolFailure, List<String>> nodes = nodes(options);
+    private Either<ToolFailure, Result> connectAndExecute(Command.Online command, ConnectionOptions options) {
+        Either<ToolFailure, List<String>> nodes = nodeUrls(options);
         if (nodes.isLeft()) {
             return Either.left(nodes.getLeft());
         }
         String token = Optional.ofNullable(options.token())
-                .orElse(surroundings.environment().getOrDefault(ConnectionOptions.TOKEN_VARIABLE, ""));
+                .orElse(environment.variables().getOrDefault(ConnectionOptions.TOKEN_VARIABLE, ""));
         if (token.isBlank()) {
             return Either.left(CommandLine.usage(
                     "found no token; expected --token or the variable " + ConnectionOptions.TOKEN_VARIABLE));
@@ -71,13 +72,13 @@
         Optional<Path> trust = Optional.ofNullable(options.trust()).map(Path::of);
         return AdministrationClient.start(nodes.get(), token, trust).flatMap(client -> {
             try (client) {
-                return ask(command, client);
+                return executeOnline(command, client);
             }
         });
     }
 
-    private Either<ToolFailure, Result> ask(Command.Online command, AdministrationClient client) {
-        ChangeCommands changes = new ChangeCommands(client, surroundings);
+    private Either<ToolFailure, Result> executeOnline(Command.Online command, AdministrationClient client) {
+        ChangeCommands changes = new ChangeCommands(client, environment);
         ViewCommands views = new ViewCommands(client);
         return switch (command) {
             case Command.Publish publish -> changes.publish(publish);
@@ -91,18 +92,18 @@
             case Command.Ownership ignored -> views.ownership();
             case Command.Requests ignored -> views.requests();
             case Command.Why why -> views.why(why.requests());
-            case Command.Config config -> views.digest(config.words());
+            case Command.Config config -> views.digest(config.arguments());
         };
     }
 
-    private Either<ToolFailure, List<String>> nodes(ConnectionOptions options) {
-        List<String> named = options.nodes();
-        if (named.isEmpty()) {
-            String variable = surroundings.environment().getOrDefault(ConnectionOptions.NODE_VARIABLE, "");
-            named = variable.isBlank() ? List.of() : List.of(variable.split(","));
+    private Either<ToolFailure, List<String>> nodeUrls(ConnectionOptions options) {
+        List<String> given = options.nodes();
+        if (given.isEmpty()) {
+            String variable = environment.variables().getOrDefault(ConnectionOptions.NODE_VARIABLE, "");
+            given = variable.isBlank() ? List.of() : List.of(variable.split(","));
         }
         List<String> nodes = new ArrayList<>();
-        for (String name : named) {
+        for (String name : given) {
             String node = name.strip();
             if (!node.matches("https?://[^/\\s?#]+/?")) {
                 String expected = "; expected a URL such as http://127.0.0.1:8101";
@@ -117,34 +118,34 @@
         return Either.right(nodes);
     }
 
-    private int say(String text) {
-        surroundings.output().println(text);
+    private int print(String text) {
+        environment.output().println(text);
         return ExitCode.OK.number();
     }
 
-    private int show(Result result, boolean json) {
+    private int printResult(Result result, boolean json) {
         if (json) {
-            surroundings.output().println(result.json().toPrettyString());
+            environment.output().println(result.json().toPrettyString());
             return result.exitCode().number();
         }
         if (!result.text().isEmpty()) {
-            surroundings.output().println(result.text());
+            environment.output().println(result.text());
         }
         if (!result.errors().isEmpty()) {
-            surroundings.errors().println(result.errors());
+            environment.errors().println(result.errors());
         }
         return result.exitCode().number();
     }
 
-    private int fail(ToolFailure failure, boolean json) {
-        int number = failure.exitCode().number();
+    private int printFailure(ToolFailure failure, boolean json) {
+        int exitCode = failure.exitCode().number();
         if (json) {
             ObjectNode error = JsonNodeFactory.instance.objectNode().put("error", failure.message());
-            surroundings.output().println(error.put("exit_code", number).toPrettyString());
-            return number;
+            environment.output().println(error.put("exit_code", exitCode).toPrettyString());
+            return exitCode;
         }
-        surroundings.errors().println(failure.message());
-        return number;
+        environment.errors().println(failure.message());
+        return exitCode;
     }
 
     private static String version() {
@@ -152,8 +153,8 @@
             Properties properties = new Properties();
             properties.load(stream);
             return properties.getProperty("version");
-        } catch (IOException fault) {
-            throw new UncheckedIOException("the version cannot be read", fault);
+        } catch (IOException exception) {
+            throw new UncheckedIOException("cannot read version.properties", exception);
         }
     }
 }
--- a/wagtaillug-tool/src/main/java/org/wagtaillug/tool/ToolFailure.java
+++ b/wagtaillug-tool/src/main/java/org/wagtaillug/tool/ToolFailure.java
@@ -4,20 +4,20 @@
 import java.util.List;
 import org.wagtaillug.settings.SettingsProblem;
 
-/** Why a command did not do what it was asked to. */
+/** The reason why a command failed. */
 sealed interface ToolFailure {
     /** One or more lines for the operator. */
     String message();
 
-    /** What the process ends with. */
+    /** The exit code of the process. */
     default ExitCode exitCode() {
         return ExitCode.FAILED;
     }
 
     /**
-     * The command line is wrong.
+     * The command line is invalid.
      *
-     * @param message names the input, what was expected and the nearest valid choice
+     * @param message the input that was found, what was expected and the nearest valid choice
      */
     record Usage(String message) implements ToolFailure {
         @Override
@@ -27,9 +27,9 @@
     }
 
     /**
-     * A file has faults.
+     * A file is invalid.
      *
-     * @param problems all of them
+     * @param problems all problems found
      */
     record Invalid(List<SettingsProblem> problems) implements ToolFailure {
         @Override
@@ -43,50 +43,50 @@
     }
 
     /**
-     * No node answered, or each said that it cannot serve.
+     * No node could be reached, or none could serve the call.
      *
-     * @param reasons one for each node that was tried
+     * @param reasons one reason for each node that was tried
      */
     record Unreachable(List<String> reasons) implements ToolFailure {
         @Override
         public String message() {
-            return "no node could serve the call, and nothing was changed:\n  " + String.join("\n  ", reasons);
+            return "no node could serve the call; nothing was changed:\n  " + String.join("\n  ", reasons);
         }
     }
 
     /**
-     * A node refused.
+     * A node refused the call.
      *
-     * @param node which
-     * @param code the result code, see docs/RESULT-CODES.md; 0 if the answer names none
-     * @param reason its words
-     * @param retryAfter when it is worth coming back; zero when it is not
+     * @param node the base URL of the node
+     * @param code the result code, see docs/RESULT-CODES.md; 0 if the response has none
+     * @param reason the node's error message
+     * @param retryAfter the delay after which to retry; zero if a retry is not recommended
      */
     record Refused(String node, int code, String reason, Duration retryAfter) implements ToolFailure {
         @Override
         public String message() {
-            String again = retryAfter.isZero() ? "" : "; come back in " + retryAfter.toMillis() + " ms";
+            String again = retryAfter.isZero() ? "" : "; retry after " + retryAfter.toMillis() + " ms";
             return "refused by " + node + " with code " + code + ": " + reason + again;
         }
     }
 
     /**
-     * A node's answer is not what docs/API.md says.
+     * The response of a node does not conform to docs/API.md.
      *
-     * @param node which
-     * @param detail what is wrong with it
+     * @param node the base URL of the node
+     * @param detail what is wrong with the response
      */
-    record Faulty(String node, String detail) implements ToolFailure {
+    record UnexpectedResponse(String node, String detail) implements ToolFailure {
         @Override
         public String message() {
-            return "the answer of " + node + " is not understood: " + detail;
+            return "unexpected response from " + node + ": " + detail;
         }
     }
 
     /**
-     * Something that was named does not exist.
+     * A key, name, file or request given on the command line was not found.
      *
-     * @param message names it and the nearest that does
+     * @param message what was not found and, if known, the nearest existing name
      */
     record NotFound(String message) implements ToolFailure {}
 }
--- a/wagtaillug-tool/src/main/java/org/wagtaillug/tool/ViewCommands.java
+++ b/wagtaillug-tool/src/main/java/org/wagtaillug/tool/ViewCommands.java
@@ -20,9 +20,9 @@
 import org.wagtaillug.contract.Body;
 import org.wagtaillug.settings.Contracts;
 import org.wagtaillug.settings.NearestName;
-import org.wagtaillug.tool.AdministrationClient.Exchange;
+import org.wagtaillug.tool.AdministrationClient.CallResult;
 
-/** The commands that only look. */
+/** The commands that only read from nodes. */
 final class ViewCommands {
     private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -48,18 +48,18 @@
         for (Body body : bodies) {
             Optional<ConfigurationView.Entry> entry = view.entry(body.key());
             JsonNode before = entry.map(ConfigurationView.Entry::body).orElse(NODES.objectNode());
-            boolean fresh = entry.isEmpty() || entry.get().removed();
-            ObjectNode shown = entries.addObject().put("key", body.key());
-            shown.put("version", view.version(body.key()));
-            if (!fresh && entry.get().holds(body)) {
-                shown.put("state", "unchanged");
+            boolean isNew = entry.isEmpty() || entry.get().removed();
+            ObjectNode entryJson = entries.addObject().put("key", body.key());
+            entryJson.put("version", view.version(body.key()));
+            if (!isNew && entry.get().hasBody(body)) {
+                entryJson.put("state", "unchanged");
                 continue;
             }
-            shown.put("state", fresh ? "new" : "changed");
-            lines.add(body.key() + (fresh ? ": new" : ": changed since version " + view.version(body.key())));
-            ArrayNode fields = shown.putArray("fields");
+            entryJson.put("state", isNew ? "new" : "changed");
+            lines.add(body.key() + (isNew ? ": new" : ": changed since version " + view.version(body.key())));
+            ArrayNode fields = entryJson.putArray("fields");
             for (BodyDifference.Line line :
-                    BodyDifference.between(fresh ? NODES.objectNode() : before, tree(Contracts.toJson(body)))) {
+                    BodyDifference.between(isNew ? NODES.objectNode() : before, parseJson(Contracts.toJson(body)))) {
                 lines.add("  " + line);
                 fields.addObject()
                         .put("path", line.path())
@@ -67,7 +67,7 @@
                         .put("after", line.after());
             }
         }
-        String text = lines.isEmpty() ? "no difference to what is in force" : String.join("\n", lines);
+        String text = lines.isEmpty() ? "no difference from the configuration in force" : String.join("\n", lines);
         return Result.ok(text, json);
     }
 
@@ -76,25 +76,25 @@
             return Either.left(CommandLine.usage("show: found " + keys.size() + " keys; expected one or none"));
         }
         return ConfigurationView.read(client)
-                .flatMap(view -> keys.isEmpty() ? Either.right(all(view)) : one(keys.getFirst(), view));
+                .flatMap(view -> keys.isEmpty() ? Either.right(showAll(view)) : showOne(keys.getFirst(), view));
     }
 
-    private static Result all(ConfigurationView view) {
+    private static Result showAll(ConfigurationView view) {
         ObjectNode json = NODES.objectNode();
-        json.put("through", view.through()).put("digest", view.digest());
+        json.put("through", view.offset()).put("digest", view.digest());
         ArrayNode entries = json.putArray("entries");
         for (Map.Entry<String, ConfigurationView.Entry> entry : view.entries().entrySet()) {
             if (entry.getValue().removed()) {
                 continue;
             }
-            ObjectNode shown = entries.addObject().put("key", entry.getKey());
-            shown.put("version", entry.getValue().version());
-            shown.set("body", entry.getValue().body());
+            ObjectNode entryJson = entries.addObject().put("key", entry.getKey());
+            entryJson.put("version", entry.getValue().version());
+            entryJson.set("body", entry.getValue().body());
         }
         return Result.ok(new Table(List.of("key", "version")).rows(entries).text(), json);
     }
 
-    private static Either<ToolFailure, Result> one(String key, ConfigurationView view) {
+    private static Either<ToolFailure, Result> showOne(String key, ConfigurationView view) {
         Optional<ConfigurationView.Entry> entry = view.entry(key);
         if (entry.isEmpty() || entry.get().removed()) {
             return Either.left(noSuchKey(key, view));
@@ -103,7 +103,7 @@
         json.put("version", entry.get().version());
         json.set("body", entry.get().body());
         String text = "# " + key + ", version " + entry.get().version() + "\n"
-                + yaml(entry.get().body());
+                + toYaml(entry.get().body());
         return Either.right(Result.ok(text, json));
     }
 
@@ -148,12 +148,12 @@
 
     private Either<ToolFailure, Result> table(String path, String field, List<String> columns) {
         return client.get(path)
-                .map(answer ->
-                        Result.ok(new Table(columns).rows(answer.path(field)).text(), answer));
+                .map(response ->
+                        Result.ok(new Table(columns).rows(response.path(field)).text(), response));
     }
 
     Either<ToolFailure, Result> requests() {
-        return ofEveryNode("/admin/requests", "requests").map(requests -> {
+        return collectFromAllNodes("/admin/requests", "requests").map(requests -> {
             ObjectNode json = NODES.objectNode();
             json.set("requests", requests);
             List<String> columns = List.of(
@@ -169,7 +169,7 @@
         });
     }
 
-    /** A request is decided by the node that its caller met, which the operator need not know: every node is asked. */
+    /** Queries every node, because the operator need not know which node received the request and made its decisions. */
     Either<ToolFailure, Result> why(List<String> requests) {
         if (requests.size() != 1) {
             return Either.left(CommandLine.usage("why: found " + requests.size() + " requests; expected one"));
@@ -177,9 +177,9 @@
         String request = requests.getFirst();
         String path = "/admin/requests/"
                 + URLEncoder.encode(request, StandardCharsets.UTF_8).replace("+", "%20");
-        return ofEveryNode(path, "decisions").flatMap(decisions -> {
+        return collectFromAllNodes(path, "decisions").flatMap(decisions -> {
             if (decisions.isEmpty()) {
-                String text = "no node that was asked remembers the request \"" + request + "\"";
+                String text = "no queried node has decisions about the request \"" + request + "\"";
                 return Either.left(new ToolFailure.NotFound(text));
             }
             ObjectNode json = NODES.objectNode().put("request", request);
@@ -207,40 +207,41 @@
         return String.join("\n", lines);
     }
 
-    /** Joins the lists of all nodes; fails only when no node answers. */
-    private Either<ToolFailure, ArrayNode> ofEveryNode(String path, String field) {
-        ArrayNode joined = NODES.arrayNode();
+    /** Concatenates the lists from all nodes. Fails if no node can serve the call or one refuses it for all nodes. */
+    private Either<ToolFailure, ArrayNode> collectFromAllNodes(String path, String field) {
+        ArrayNode collected = NODES.arrayNode();
         List<String> reasons = new ArrayList<>();
         for (String node : client.nodes()) {
             switch (client.get(node, path)) {
-                case Exchange.Answered answered -> {
-                    if (answered.status() == AdministrationClient.OK) {
-                        answered.body().path(field).forEach(joined::add);
+                case CallResult.Response response -> {
+                    if (response.status() == AdministrationClient.OK) {
+                        response.body().path(field).forEach(collected::add);
                         continue;
                     }
-                    if (answered.status() == NOT_FOUND) {
+                    if (response.status() == NOT_FOUND) {
                         continue;
                     }
-                    Answers.Refusal refusal = Answers.refusal(answered);
-                    if (!refusal.anotherNodeMayServe()) {
+                    ErrorResponses.Refusal refusal = ErrorResponses.parse(response);
+                    if (!refusal.retryableOnOtherNode()) {
                         return Either.left(refusal.failure(node));
                     }
                     reasons.add(node + ": " + refusal.message());
                 }
-                case Exchange.NotReached notReached -> reasons.add(node + ": " + notReached.reason());
-                case Exchange.Lost lost -> reasons.add(node + ": " + lost.reason());
+                case CallResult.NotSent notSent -> reasons.add(node + ": " + notSent.reason());
+                case CallResult.NoResponse noResponse -> reasons.add(node + ": " + noResponse.reason());
             }
         }
         if (reasons.size() == client.nodes().size()) {
             return Either.left(new ToolFailure.Unreachable(reasons));
         }
-        return Either.right(joined);
+        return Either.right(collected);
     }
 
-    /** Two nodes at the same offset must hold the same; other offsets cannot be compared. */
-    Either<ToolFailure, Result> digest(List<String> words) {
-        if (!words.equals(List.of("digest"))) {
-            return Either.left(CommandLine.usage("config: found \"" + String.join(" ", words) + "\"; expected digest"));
+    /** Compares the digests of nodes at the same offset, which must be equal; other digests are not comparable. */
+    Either<ToolFailure, Result> digest(List<String> arguments) {
+        if (!arguments.equals(List.of("digest"))) {
+            return Either.left(
+                    CommandLine.usage("config: found \"" + String.join(" ", arguments) + "\"; expected digest"));
         }
         ObjectNode json = NODES.objectNode();
         ArrayNode rows = json.putArray("nodes");
@@ -250,13 +251,13 @@
         for (String node : client.nodes()) {
             Optional<ConfigurationView> view = ConfigurationView.read(client, node);
             if (view.isEmpty()) {
-                reasons.add(node + ": no answer that holds a digest");
+                reasons.add(node + ": no response with a digest");
                 continue;
             }
-            long through = view.get().through();
+            long offset = view.get().offset();
             String digest = view.get().digest();
-            rows.addObject().put("node", node).put("through", through).put("digest", digest);
-            String other = digests.putIfAbsent(through, digest);
+            rows.addObject().put("node", node).put("through", offset).put("digest", digest);
+            String other = digests.putIfAbsent(offset, digest);
             equal &= other == null || other.equals(digest);
         }
         if (rows.isEmpty()) {
@@ -271,19 +272,19 @@
         return Either.right(new Result(text, String.join("\n", reasons), json, exitCode));
     }
 
-    private static String yaml(JsonNode tree) {
+    private static String toYaml(JsonNode tree) {
         try {
             return YAML.writeValueAsString(tree).stripTrailing();
-        } catch (JsonProcessingException fault) {
-            throw new IllegalStateException("a tree cannot be written", fault);
+        } catch (JsonProcessingException exception) {
+            throw new IllegalStateException("cannot write a JSON tree as YAML", exception);
         }
     }
 
-    private static JsonNode tree(String json) {
+    private static JsonNode parseJson(String json) {
         try {
             return JSON.readTree(json);
-        } catch (JsonProcessingException fault) {
-            throw new IllegalStateException("a body's own JSON cannot be read", fault);
+        } catch (JsonProcessingException exception) {
+            throw new IllegalStateException("cannot parse the JSON generated from a contract body", exception);
         }
     }
 }
--- a/wagtaillug-tool/src/main/java/org/wagtaillug/tool/package-info.java
+++ b/wagtaillug-tool/src/main/java/org/wagtaillug/tool/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The operators' command line {@code wagtaillugctl}: reads the arguments, speaks to the administration interface of one
- * node after the other, and tells what came of it. It claims nothing that no node has said.
+ * The operators' command-line tool {@code wagtaillugctl}: parses the arguments, calls the administration interface of the
+ * given nodes and prints the result. It reports an outcome only if a node has confirmed it.
  */
 package org.wagtaillug.tool;
--- a/wagtaillug-tool/src/test/java/org/wagtaillug/tool/ToolRun.java
+++ b/wagtaillug-tool/src/test/java/org/wagtaillug/tool/ToolRun.java
@@ -10,10 +10,10 @@
 /** One run of the tool; its pauses move a time of its own. */
 record ToolRun(int exitCode, String output, String errors) {
     /** A clock that only pauses move. */
-    private static final class ManualTime {
+    private static final class ManualClock {
         private Instant now = Instant.EPOCH;
 
-        private void pause(Duration length) {
+        private void sleep(Duration length) {
             now = now.plus(length);
         }
 
@@ -26,17 +26,17 @@
         return with(Map.of(), arguments);
     }
 
-    static ToolRun with(Map<String, String> environment, String... arguments) {
+    static ToolRun with(Map<String, String> variables, String... arguments) {
         ByteArrayOutputStream output = new ByteArrayOutputStream();
         ByteArrayOutputStream errors = new ByteArrayOutputStream();
-        ManualTime time = new ManualTime();
-        Surroundings surroundings = new Surroundings(
+        ManualClock clock = new ManualClock();
+        ToolEnvironment toolEnvironment = new ToolEnvironment(
                 new PrintStream(output, true, StandardCharsets.UTF_8),
                 new PrintStream(errors, true, StandardCharsets.UTF_8),
-                environment,
-                time::now,
-                time::pause);
-        int exitCode = new Tool(surroundings).run(arguments);
+                variables,
+                clock::now,
+                clock::sleep);
+        int exitCode = new Tool(toolEnvironment).run(arguments);
         return new ToolRun(exitCode, output.toString(StandardCharsets.UTF_8), errors.toString(StandardCharsets.UTF_8));
     }
 }
--- a/wagtaillug-tool/src/test/java/org/wagtaillug/tool/ToolTest.java
+++ b/wagtaillug-tool/src/test/java/org/wagtaillug/tool/ToolTest.java
@@ -87,8 +87,8 @@
         };
         ToolRun run = tool("publish " + file(ENCODE + "---\nkind: pool\nid: rerank\n"));
         assertThat(run.errors())
-                .isEqualTo("pool/encode: not accepted: version 12 won; yours was made from version 11."
-                        + " See diff and publish again\npool/rerank: not sent, as one before it failed\n");
+                .isEqualTo("pool/encode: not accepted: version 12 is in force; this change is based on version 11."
+                        + " Run diff and publish again\npool/rerank: not sent, because an earlier change failed\n");
         assertThat(run.output()).isEmpty();
         assertThat(run.exitCode()).isEqualTo(1);
         assertThat(first.posts).hasSize(1);
@@ -130,8 +130,8 @@
         ToolRun run = tool("publish " + file(ENCODE));
         assertThat(run.output()).isEmpty();
         assertThat(run.errors())
-                .startsWith("pool/encode: not known whether accepted")
-                .endsWith("it is now at version 11, which holds what was sent\n");
+                .startsWith("pool/encode: outcome unknown")
+                .endsWith("the key is now at version 11, which has the content that was sent\n");
         assertThat(run.exitCode()).isEqualTo(1);
         assertThat(second.posts).isEmpty();
     }
@@ -217,7 +217,7 @@
         assertThat(tool("diff " + file(ENCODE)).output())
                 .isEqualTo("pool/encode: changed since version 11\n  ~ warm_limit: 8 -> 9\n");
         assertThat(tool("diff " + file("{kind: pool, id: encode}")).output())
-                .isEqualTo("no difference to what is in force\n");
+                .isEqualTo("no difference from the configuration in force\n");
     }
 
     @Test
