--- a/wagtaillug-tool/src/test/java/org/wagtaillug/tool/AccountTest.java
+++ b/wagtaillug-tool/src/test/java/org/wagtaillug/tool/AccountTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The command account, from log files to its rows. */
+/** Tests the command {@code account}, from log files to its output. */
 class AccountTest {
     private static final String ACCEPT =
             "\"decision\":\"accept\",\"request\":\"%s\",\"route\":\"chat\",\"content\":\"%s\"";
@@ -29,13 +29,13 @@
                     + "\"room_of\":\"100\"";
 
     @TempDir
-    Path folder;
+    Path directory;
 
     private Path log;
 
     @BeforeEach
-    void empty() throws IOException {
-        log = Files.createFile(folder.resolve("node.log"));
+    void createLog() throws IOException {
+        log = Files.createFile(directory.resolve("node.log"));
     }
 
     private static String line(int second, String fields) {
@@ -50,8 +50,8 @@
     private JsonNode account(Path... files) throws IOException {
         String[] arguments = new String[files.length + 3];
         arguments[0] = "account";
-        for (int each = 0; each < files.length; each++) {
-            arguments[each + 1] = files[each].toString();
+        for (int index = 0; index < files.length; index++) {
+            arguments[index + 1] = files[index].toString();
         }
         arguments[files.length + 1] = "--output";
         arguments[files.length + 2] = "json";
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void tellsWhereTheTimeOfRequestsWent() throws IOException {
+    void reportsWhereRequestsSpentTheirTime() throws IOException {
         write(
                 line(0, String.format(ACCEPT, "a", "a")),
                 line(0, String.format(ACCEPT, "b", "b")),
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void tellsHowLongTheRefusedHadWaitedAndWhetherTheyCameBack() throws IOException {
+    void reportsHowLongRefusedRequestsHadWaitedAndWhetherTheyReturned() throws IOException {
         write(
                 line(0, String.format(ACCEPT, "a", "same")),
                 line(1, String.format(REFUSED, "same")),
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void tellsHowFullCallsAre() throws IOException {
+    void reportsTheBatchSizesOfCalls() throws IOException {
         write(
                 line(0, String.format(CALL, 6, 0)),
                 line(0, String.format(CALL, 2, 9)),
@@ -106,10 +106,9 @@
     }
 
     @Test
-    void bearsBrokenLinesOtherLinesAndAnyOrder() throws IOException {
-        // An operator hands over what a collector kept: a file that was cut in the middle of a line, with the node's
-        // name
-        // before each line, lines of other programs between, and the end of a request before its beginning.
+    void toleratesMalformedLinesOtherLinesAndAnyOrder() throws IOException {
+        // A file from a log collector: the node's name precedes each line, lines of other programs are mixed in,
+        // the end of a request precedes its start, and the last line is truncated.
         write(
                 "node-1 " + line(2, String.format(SERVED, 900, 300, 500)),
                 "node-1 " + line(1, String.format(ACCEPT, "a", "a")),
@@ -126,7 +125,7 @@
     }
 
     @Test
-    void aFieldThatAnOlderVersionDidNotWriteIsLeftOut() throws IOException {
+    void aFieldThatAnOlderVersionDidNotWriteIsOmitted() throws IOException {
         write(line(1, "\"decision\":\"finish\",\"request\":\"r\",\"outcome\":\"PASSED\",\"total_ms\":\"many\""));
         JsonNode route = account(log).path("routes").path(0);
         assertThat(route.path("route").asText()).isEqualTo("none");
@@ -135,10 +134,10 @@
     }
 
     @Test
-    void saysWhichFileHoldsNoDecision() throws IOException {
+    void reportsAFileWithoutDecisions() throws IOException {
         byte[] garbage = new byte[300_000];
         new Random(7).nextBytes(garbage);
-        Path binary = Files.write(folder.resolve("core.bin"), garbage);
+        Path binary = Files.write(directory.resolve("core.bin"), garbage);
         write(line(0, String.format(ACCEPT, "a", "a")));
         ToolRun run = ToolRun.of("account", log.toString(), binary.toString());
         assertThat(run.exitCode()).isEqualTo(1);
@@ -146,20 +145,21 @@
     }
 
     @Test
-    void saysWhichFileCannotBeRead() {
-        ToolRun run = ToolRun.of("account", folder.resolve("missing.log").toString());
+    void reportsAnUnreadableFile() {
+        ToolRun run = ToolRun.of("account", directory.resolve("missing.log").toString());
         assertThat(run.exitCode()).isEqualTo(1);
         assertThat(run.errors()).contains("missing.log: cannot be read").contains("expected a log file of a node");
     }
 
     @Test
-    void aLineWithoutEndDoesNotFillTheMemory() throws IOException {
-        // Someone names a disk image of a gigabyte: hardly a line break in it, and nothing that is a decision.
-        Path large = folder.resolve("image.bin");
+    void aLineWithoutEndDoesNotExhaustTheMemory() throws IOException {
+        // An operator passes a large binary file by mistake, such as a disk image of a gigabyte: it has hardly any line
+        // breaks and no decision.
+        Path large = directory.resolve("image.bin");
         byte[] block = new byte[1 << 20];
         java.util.Arrays.fill(block, (byte) '{');
         try (OutputStream out = Files.newOutputStream(large)) {
-            for (int each = 0; each < 64; each++) {
+            for (int index = 0; index < 64; index++) {
                 out.write(block);
             }
             out.write(("\n" + line(0, String.format(ACCEPT, "a", "a"))).getBytes());
@@ -170,10 +170,10 @@
     }
 
     @Test
-    void namesBeyondAllMeasureAreCountedAndLeftOut() throws IOException {
+    void namesBeyondTheLimitAreCountedAndLeftOut() throws IOException {
         StringBuilder lines = new StringBuilder();
-        for (int each = 0; each < 3000; each++) {
-            lines.append(line(0, "\"decision\":\"accept\",\"request\":\"r\",\"route\":\"route-" + each + "\""));
+        for (int index = 0; index < 3000; index++) {
+            lines.append(line(0, "\"decision\":\"accept\",\"request\":\"r\",\"route\":\"route-" + index + "\""));
         }
         write(lines.toString());
         JsonNode account = account(log);
@@ -182,7 +182,7 @@
     }
 
     @Test
-    void showsTablesForPeople() throws IOException {
+    void printsTablesInTextForm() throws IOException {
         write(line(0, String.format(ACCEPT, "a", "a")), line(0, String.format(CALL, 6, 0)));
         ToolRun run = ToolRun.of("account", log.toString());
         assertThat(run.exitCode()).isZero();
--- a/wagtaillug-tool/src/test/java/org/wagtaillug/tool/CommandLineTest.java
+++ b/wagtaillug-tool/src/test/java/org/wagtaillug/tool/CommandLineTest.java
@@ -30,7 +30,7 @@
                 "validate no-such-file.yaml | no-such-file.yaml | expected a file",
                 "nodes more | more | Try wagtaillugctl --help",
             })
-    void wrongUsageNamesWhatWasFoundAndExpected(String line, String found, String expected) {
+    void invalidUsageReportsWhatWasFoundAndExpected(String line, String found, String expected) {
         ToolRun run = ToolRun.of(line.strip().split(" "));
         assertThat(run.errors()).contains(found.strip()).contains(expected.strip());
         assertThat(run.output()).isEmpty();
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void aCommandLineWithoutACommandIsWrongUsage() {
+    void aCommandLineWithoutACommandIsInvalidUsage() {
         assertThat(ToolRun.of().exitCode()).isEqualTo(2);
     }
 
--- a/wagtaillug-tool/src/test/java/org/wagtaillug/tool/FakeAdministration.java
+++ b/wagtaillug-tool/src/test/java/org/wagtaillug/tool/FakeAdministration.java
@@ -16,22 +16,22 @@
 import java.util.List;
 import java.util.Map;
 
-/** A node's administration interface with a configuration of its own and faults that a test switches on. */
+/** A fake administration interface of a node, with its own configuration and faults that a test can enable. */
 final class FakeAdministration implements AutoCloseable {
     static final String TOKEN = "example-operator-token";
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** What the node does with the next changes. */
+    /** How the node handles the next changes. */
     enum Fault {
         NONE,
-        /** Takes the change and closes the connection without an answer. */
+        /** Accepts the change and closes the connection without a response. */
         ANSWER_LOST,
-        /** As before, and then forgets the change id, as a node that was started anew would. */
+        /** Like {@link #ANSWER_LOST}, but also forgets the change id, as a restarted node does. */
         ANSWER_LOST_AND_FORGOTTEN,
-        /** Takes the change and says that it does not know yet. */
+        /** Accepts the change and responds that its outcome is unknown. */
         OUTCOME_UNKNOWN,
-        /** Refuses as a node that shuts down does. */
+        /** Refuses the change like a node that is shutting down. */
         SHUTTING_DOWN
     }
 
@@ -39,15 +39,15 @@
 
     final Map<String, Entry> entries = new LinkedHashMap<>();
     final List<JsonNode> posts = new ArrayList<>();
-    final Map<String, JsonNode> fixed = new HashMap<>();
+    final Map<String, JsonNode> fixedResponses = new HashMap<>();
     Fault fault = Fault.NONE;
-    /** Polls of a change's reach that still show one node behind. */
-    int lateFor;
-    /** Runs when the configuration was read: another operator may act then. */
+    /** The number of polls of a change for which one node still lags. */
+    int laggingPolls;
+    /** Runs after the configuration was read, for example to simulate a change by another operator. */
     Runnable afterRead = () -> {};
 
     String digest = "d1";
-    private long through = 10;
+    private long offset = 10;
     private final Map<String, Long> accepted = new HashMap<>();
     private final HttpServer server;
 
@@ -62,35 +62,35 @@
     }
 
     long put(String key, String body) {
-        through++;
-        entries.put(key, new Entry(through, json(body)));
-        return through;
+        offset++;
+        entries.put(key, new Entry(offset, json(body)));
+        return offset;
     }
 
     private synchronized void handle(HttpExchange exchange) throws IOException {
         String path = exchange.getRequestURI().getRawPath();
         String authorization = exchange.getRequestHeaders().getFirst("Authorization");
         if (!("Bearer " + TOKEN).equals(authorization)) {
-            answer(exchange, 403, refusal(107, "not-run", "the token's role is reader; expected operator"));
+            respond(exchange, 403, refusal(107, "not-run", "the token's role is reader; expected operator"));
             return;
         }
-        if (fixed.containsKey(path)) {
-            answer(exchange, 200, fixed.get(path));
+        if (fixedResponses.containsKey(path)) {
+            respond(exchange, 200, fixedResponses.get(path));
             return;
         }
         switch (path) {
             case "/admin/configuration" -> {
-                JsonNode shown = configuration();
+                JsonNode snapshot = configuration();
                 afterRead.run();
-                answer(exchange, 200, shown);
+                respond(exchange, 200, snapshot);
             }
             case "/admin/changes" -> change(exchange, JSON.readTree(exchange.getRequestBody()));
             default -> {
                 if (path.startsWith("/admin/changes/")) {
-                    answer(exchange, 200, reach());
+                    respond(exchange, 200, propagation());
                     return;
                 }
-                answer(exchange, 404, refusal(100, "not-run", "no such path"));
+                respond(exchange, 404, refusal(100, "not-run", "no such path"));
             }
         }
     }
@@ -98,7 +98,7 @@
     private void change(HttpExchange exchange, JsonNode change) throws IOException {
         posts.add(change);
         if (fault == Fault.SHUTTING_DOWN) {
-            answer(exchange, 503, refusal(501, "not-run", "the node is shutting down"));
+            respond(exchange, 503, refusal(501, "not-run", "the node is shutting down"));
             return;
         }
         String id = change.path("change_id").asText();
@@ -106,45 +106,48 @@
         long current = entries.containsKey(key) ? entries.get(key).version() : 0;
         if (!accepted.containsKey(id)) {
             if (change.path("base").asLong() != current) {
-                answer(exchange, 409, refusal(503, "not-run", "version " + current + " is the newest"));
+                respond(exchange, 409, refusal(503, "not-run", "version " + current + " is the newest"));
                 return;
             }
             accepted.put(id, put(key, change.path("body").toString()));
         }
-        Fault now = fault;
+        Fault currentFault = fault;
         fault = Fault.NONE;
-        if (now == Fault.ANSWER_LOST_AND_FORGOTTEN) {
+        if (currentFault == Fault.ANSWER_LOST_AND_FORGOTTEN) {
             accepted.clear();
         }
-        if (now == Fault.OUTCOME_UNKNOWN) {
-            answer(exchange, 503, refusal(500, "unknown", "the log did not answer in time"));
+        if (currentFault == Fault.OUTCOME_UNKNOWN) {
+            respond(exchange, 503, refusal(500, "unknown", "the log did not answer in time"));
             return;
         }
-        if (now != Fault.NONE) {
+        if (currentFault != Fault.NONE) {
             exchange.close();
             return;
         }
-        answer(exchange, 200, JSON.createObjectNode().put("change_id", id).put("version", accepted.get(id)));
+        respond(exchange, 200, JSON.createObjectNode().put("change_id", id).put("version", accepted.get(id)));
     }
 
     private JsonNode configuration() {
-        ObjectNode answer = JSON.createObjectNode().put("through", through).put("digest", digest);
-        ArrayNode list = answer.putArray("entries");
+        ObjectNode response = JSON.createObjectNode().put("through", offset).put("digest", digest);
+        ArrayNode list = response.putArray("entries");
         entries.forEach((key, entry) ->
                 list.addObject().put("key", key).put("version", entry.version()).set("body", entry.body()));
-        return answer;
+        return response;
     }
 
-    private JsonNode reach() {
-        boolean late = lateFor > 0;
-        lateFor--;
-        ObjectNode answer = JSON.createObjectNode().put("version", through).put("in_force", true);
-        ArrayNode nodes = answer.putArray("nodes");
-        nodes.addObject().put("node", "a#1").put("through", through).put("fresh", true);
-        nodes.addObject().put("node", "b#1").put("through", through).put("fresh", true);
-        nodes.addObject().put("node", "c#1").put("through", late ? 1 : through).put("fresh", true);
-        answer.putArray("waiting_for");
-        return answer;
+    private JsonNode propagation() {
+        boolean lagging = laggingPolls > 0;
+        laggingPolls--;
+        ObjectNode response = JSON.createObjectNode().put("version", offset).put("in_force", true);
+        ArrayNode nodes = response.putArray("nodes");
+        nodes.addObject().put("node", "a#1").put("through", offset).put("fresh", true);
+        nodes.addObject().put("node", "b#1").put("through", offset).put("fresh", true);
+        nodes.addObject()
+                .put("node", "c#1")
+                .put("through", lagging ? 1 : offset)
+                .put("fresh", true);
+        response.putArray("waiting_for");
+        return response;
     }
 
     private static JsonNode refusal(int code, String run, String message) {
@@ -158,12 +161,12 @@
     static JsonNode json(String text) {
         try {
             return JSON.readTree(text);
-        } catch (IOException fault) {
-            throw new IllegalArgumentException(text, fault);
+        } catch (IOException exception) {
+            throw new IllegalArgumentException(text, exception);
         }
     }
 
-    private static void answer(HttpExchange exchange, int status, JsonNode body) throws IOException {
+    private static void respond(HttpExchange exchange, int status, JsonNode body) throws IOException {
         byte[] bytes = body.toString().getBytes(StandardCharsets.UTF_8);
         exchange.sendResponseHeaders(status, bytes.length);
         exchange.getResponseBody().write(bytes);
--- a/wagtaillug-tool/src/test/java/org/wagtaillug/tool/ToolRun.java
+++ b/wagtaillug-tool/src/test/java/org/wagtaillug/tool/ToolRun.java
@@ -7,14 +7,14 @@
 import java.time.Instant;
 import java.util.Map;
 
-/** One run of the tool; its pauses move a time of its own. */
+/** One run of the tool with a clock that advances only while the tool sleeps. */
 record ToolRun(int exitCode, String output, String errors) {
-    /** A clock that only pauses move. */
+    /** A clock that only {@link #sleep} advances. */
     private static final class ManualClock {
         private Instant now = Instant.EPOCH;
 
-        private void sleep(Duration length) {
-            now = now.plus(length);
+        private void sleep(Duration duration) {
+            now = now.plus(duration);
         }
 
         private Instant now() {
--- a/wagtaillug-tool/src/test/java/org/wagtaillug/tool/ToolTest.java
+++ b/wagtaillug-tool/src/test/java/org/wagtaillug/tool/ToolTest.java
@@ -24,7 +24,7 @@
             + "\"through\":12,\"heard_millis\":40,\"fresh\":true,\"ready\":true}]}";
 
     @TempDir
-    Path folder;
+    Path directory;
 
     private FakeAdministration first;
     private FakeAdministration second;
@@ -48,12 +48,12 @@
     }
 
     private String file(String text) throws IOException {
-        return Files.writeString(folder.resolve("contracts.yaml"), text).toString();
+        return Files.writeString(directory.resolve("contracts.yaml"), text).toString();
     }
 
     @Test
     void publishesAndWaitsUntilItIsInForceEverywhere() throws IOException {
-        first.lateFor = 3;
+        first.laggingPolls = 3;
         ToolRun run = tool("publish --wait " + file(ENCODE));
         assertThat(run)
                 .isEqualTo(new ToolRun(0, "pool/encode: accepted as version 11\nin force on 3 of 3 nodes\n", ""));
@@ -62,12 +62,13 @@
     }
 
     /**
-     * An operator waits for a change while one node lags. The answering node already says "in force"; the lagging node's
-     * own offset says otherwise. The tool must not call it in force before that node does.
+     * An operator waits for a change while one node lags. The responding node already reports the change as in force, but
+     * the offset of the lagging node shows that it is not. The tool must not report it as in force before that node has
+     * read it.
      */
     @Test
-    void doesNotCallAChangeInForceWhileANodeIsBehind() throws IOException {
-        first.lateFor = Integer.MAX_VALUE;
+    void aChangeIsNotInForceWhileANodeLags() throws IOException {
+        first.laggingPolls = Integer.MAX_VALUE;
         ToolRun run = tool("publish --wait --timeout 2s " + file(ENCODE));
         assertThat(run.output()).isEqualTo("pool/encode: accepted as version 11\n");
         assertThat(run.errors()).isEqualTo("in force on 2 of 3 nodes after 2s; waiting for c#1\n");
@@ -75,11 +76,11 @@
     }
 
     /**
-     * Two operators change one pool. Ours reads version 11; before it sends, the other's version 12 wins. Taking ours
-     * would undo the other's change without anybody having seen it.
+     * Two operators change the same pool. The tool reads version 11; before it sends its change, the other operator's change
+     * is accepted as version 12. Accepting the tool's change would silently overwrite it (a lost update).
      */
     @Test
-    void aCrossingChangeLosesAndSaysWhichVersionWon() throws IOException {
+    void aConflictingChangeIsNotAcceptedAndReportsTheVersionInForce() throws IOException {
         first.put("pool/encode", DEFAULT_ENCODE);
         first.afterRead = () -> {
             first.afterRead = () -> {};
@@ -95,11 +96,12 @@
     }
 
     /**
-     * The node takes the change, and its answer is lost on the way. The operator would see an error and publish again, or
-     * another node would be sent the same change. The tool asks the same node again under the same change id.
+     * The node accepts the change, but its response is lost. Without a resend, the operator would see an error and publish
+     * again, or the tool would send the change to another node. The tool resends the change to the same node with the same
+     * change id.
      */
     @Test
-    void aLostAnswerIsAskedForAgainUnderTheSameChangeId() throws IOException {
+    void aChangeWhoseResponseIsLostIsResentWithTheSameChangeId() throws IOException {
         first.fault = Fault.ANSWER_LOST;
         ToolRun run = tool("publish " + file(ENCODE));
         assertThat(run).isEqualTo(new ToolRun(0, "pool/encode: accepted as version 11\n", ""));
@@ -109,11 +111,11 @@
     }
 
     /**
-     * The log takes the change and is slow to say so; the node cannot tell yet. Its "unknown" is no refusal: the change
-     * wins a moment later, and the operator must hear of that and not send another.
+     * The log accepts the change but is slow to confirm it, so the node responds that the outcome is unknown. This is not a
+     * refusal: the change is accepted a moment later, and the tool must report that, so the operator does not send another.
      */
     @Test
-    void anUnknownOutcomeIsAskedForUntilItIsKnown() throws IOException {
+    void aChangeWithUnknownOutcomeIsResentUntilTheOutcomeIsKnown() throws IOException {
         first.fault = Fault.OUTCOME_UNKNOWN;
         assertThat(tool("publish " + file(ENCODE)))
                 .isEqualTo(new ToolRun(0, "pool/encode: accepted as version 11\n", ""));
@@ -121,11 +123,11 @@
     }
 
     /**
-     * The answer is lost and the node starts anew, so that it no longer knows the change id and calls the change crossed
-     * by its own first sending. The tool may neither claim that it was accepted nor that it was not.
+     * The response is lost and the node restarts, so it no longer knows the change id and reports a conflict with the
+     * change's own first attempt. The tool must report neither that the change was accepted nor that it was not.
      */
     @Test
-    void aLostAnswerThatNobodyRemembersIsCalledUnknown() throws IOException {
+    void aLostResponseWithAForgottenChangeIdIsAnUnknownOutcome() throws IOException {
         first.fault = Fault.ANSWER_LOST_AND_FORGOTTEN;
         ToolRun run = tool("publish " + file(ENCODE));
         assertThat(run.output()).isEmpty();
@@ -137,7 +139,7 @@
     }
 
     @Test
-    void aNodeThatIsDownOrShutsDownIsPassedOver() throws IOException {
+    void aNodeThatIsDownOrShuttingDownIsSkipped() throws IOException {
         first.fault = Fault.SHUTTING_DOWN;
         assertThat(tool("publish " + file(ENCODE)).exitCode()).isZero();
         assertThat(second.posts).hasSize(1);
@@ -146,7 +148,7 @@
     }
 
     @Test
-    void whatIsInForceIsNotPublishedAgain() throws IOException {
+    void anUnchangedContractIsNotPublishedAgain() throws IOException {
         first.put("pool/encode", DEFAULT_ENCODE);
         ToolRun run = tool("publish " + file("{kind: pool, id: encode}"));
         assertThat(run).isEqualTo(new ToolRun(0, "pool/encode: unchanged, version 11\n", ""));
@@ -154,7 +156,7 @@
     }
 
     @Test
-    void aBaseMayBeNamedForOneContractOnly() throws IOException {
+    void aBaseVersionIsAcceptedForASingleContractOnly() throws IOException {
         first.put("pool/encode", DEFAULT_ENCODE);
         assertThat(tool("publish --base 11 " + file(ENCODE)).exitCode()).isZero();
         assertThat(tool("publish --base 11 " + file(ENCODE)).exitCode()).isEqualTo(1);
@@ -164,7 +166,7 @@
     }
 
     @Test
-    void aFileWithFaultsIsNotSent() throws IOException {
+    void anInvalidFileIsNotSent() throws IOException {
         ToolRun run = tool("publish " + file(ENCODE + "---\nkind: poll\nid: rerank\n"));
         assertThat(run.errors())
                 .contains("contracts.yaml:5: kind: found \"poll\"")
@@ -184,16 +186,16 @@
     }
 
     @Test
-    void aReadersTokenIsRefused() throws IOException {
+    void aTokenWithTheReaderRoleIsRefused() throws IOException {
         ToolRun run = ToolRun.of("publish", "--token", "reader", "--node", first.url(), file(ENCODE));
         assertThat(run.errors()).contains("with code 107: the token's role is reader");
         assertThat(run.exitCode()).isEqualTo(1);
     }
 
     @Test
-    void takesAFailureDomainOutAndBackButNoneThatNobodyHasSeen() {
-        first.fixed.put("/admin/upstreams", FakeAdministration.json(UPSTREAMS));
-        first.fixed.put("/admin/nodes", FakeAdministration.json(NODES));
+    void takesAFailureDomainOutAndBackButRejectsNamesThatNoNodeReports() {
+        first.fixedResponses.put("/admin/upstreams", FakeAdministration.json(UPSTREAMS));
+        first.fixedResponses.put("/admin/nodes", FakeAdministration.json(NODES));
         ToolRun mistyped = tool("domain out pl-aa");
         assertThat(mistyped.errors()).contains("expected one of pl-a, pl-b; did you mean \"pl-a\"?");
         assertThat(mistyped.exitCode()).isEqualTo(1);
@@ -208,7 +210,7 @@
     }
 
     @Test
-    void showsAndComparesWhatIsInForce() throws IOException {
+    void showsAndComparesTheConfigurationInForce() throws IOException {
         first.put("pool/encode", DEFAULT_ENCODE);
         assertThat(tool("show").output()).isEqualTo("key          version\npool/encode  11\n");
         assertThat(tool("show pool/encode").output())
@@ -222,11 +224,11 @@
 
     @Test
     void showsNodesUpstreamsAndRequestsOfEveryNode() {
-        first.fixed.put("/admin/nodes", FakeAdministration.json(NODES));
-        first.fixed.put("/admin/upstreams", FakeAdministration.json(UPSTREAMS));
-        first.fixed.put("/admin/requests", FakeAdministration.json("{\"requests\":[{\"request\":\"r1\"}]}"));
-        second.fixed.put("/admin/requests", FakeAdministration.json("{\"requests\":[{\"request\":\"r2\"}]}"));
-        second.fixed.put(
+        first.fixedResponses.put("/admin/nodes", FakeAdministration.json(NODES));
+        first.fixedResponses.put("/admin/upstreams", FakeAdministration.json(UPSTREAMS));
+        first.fixedResponses.put("/admin/requests", FakeAdministration.json("{\"requests\":[{\"request\":\"r1\"}]}"));
+        second.fixedResponses.put("/admin/requests", FakeAdministration.json("{\"requests\":[{\"request\":\"r2\"}]}"));
+        second.fixedResponses.put(
                 "/admin/requests/r%2F2",
                 FakeAdministration.json("{\"request\":\"r/2\",\"decisions\":[{\"time\":\"2026-12-02T08:00:00Z\","
                         + "\"kind\":\"route\",\"fields\":{\"stage\":\"encode\",\"upstream\":\"encoder-1\"},"
@@ -243,7 +245,7 @@
     }
 
     @Test
-    void tellsWhenTwoNodesAtTheSameOffsetDiffer() {
+    void reportsNodesThatDifferAtTheSameOffset() {
         assertThat(tool("config digest").exitCode()).isZero();
         second.digest = "d2";
         ToolRun run = tool("config digest");
--- a/wagtaillug-tool/src/test/java/org/wagtaillug/tool/gate/GateTest.java
+++ b/wagtaillug-tool/src/test/java/org/wagtaillug/tool/gate/GateTest.java
@@ -1,9 +1,9 @@
 package org.wagtaillug.tool.gate;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static org.wagtaillug.tool.gate.WrittenRun.failed;
-import static org.wagtaillug.tool.gate.WrittenRun.passed;
-import static org.wagtaillug.tool.gate.WrittenRun.skipped;
+import static org.wagtaillug.tool.gate.SimulatedBuild.failed;
+import static org.wagtaillug.tool.gate.SimulatedBuild.passed;
+import static org.wagtaillug.tool.gate.SimulatedBuild.skipped;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -13,88 +13,88 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.wagtaillug.tool.gate.WrittenRun.Verdict;
+import org.wagtaillug.tool.gate.SimulatedBuild.Verdict;
 
-/** The verdict of {@code ./verify}, over written reports. */
+/** Tests the verdict of {@code ./verify} on simulated builds. */
 class GateTest {
     private static final String ENTRY = ", ./verify, any seed: the answer came late, #12";
 
-    private WrittenRun run;
+    private SimulatedBuild build;
 
     @BeforeEach
     void prepare(@TempDir Path root) throws IOException {
-        run = WrittenRun.passing(root);
+        build = SimulatedBuild.passing(root);
     }
 
-    private WrittenRun withFailureListed() {
-        return run.reported("a.SecondTest", failed("a.SecondTest", "two")).listed("a.SecondTest.two" + ENTRY);
+    private SimulatedBuild withKnownFailure() {
+        return build.withReport("a.SecondTest", failed("a.SecondTest", "two")).withKnownRed("a.SecondTest.two" + ENTRY);
     }
 
     @Test
     void allPassedAndNothingListedIsGreen() throws Exception {
-        Verdict verdict = run.judge();
+        Verdict verdict = build.verify();
 
         assertThat(verdict.green()).as(verdict.output()).isTrue();
         assertThat(verdict.output()).contains("Maven was asked: -B -ntp clean package");
-        assertThat(verdict.closing())
+        assertThat(verdict.lastLine())
                 .isEqualTo("Tests: 3 passed, 0 failed and not listed, 0 failed as listed, 0 skipped;"
                         + " 0 listed in KNOWN-RED.txt; green.");
     }
 
     @Test
     void aListedFailureAloneIsGreenAndPrinted() throws Exception {
-        Verdict verdict = withFailureListed().judge();
+        Verdict verdict = withKnownFailure().verify();
 
         assertThat(verdict.green()).as(verdict.output()).isTrue();
         assertThat(verdict.output()).contains("a.SecondTest.two" + ENTRY);
-        assertThat(verdict.closing()).contains("2 passed, 0 failed and not listed, 1 failed as listed", "1 listed in");
+        assertThat(verdict.lastLine()).contains("2 passed, 0 failed and not listed, 1 failed as listed", "1 listed in");
     }
 
     /**
-     * While any entry stood in the list, a change that broke a test of the platform's module landed: the run had ended well
-     * and nothing was printed. Maven goes on past failures then, and the reports of folders that begin with the product's
-     * name were looked at only.
+     * Guards against missing failures of modules whose names do not start with the product's name, such as
+     * {@code platform}: while the list had entries, Maven continued after failures and only the reports of modules with that
+     * prefix were checked, so the build passed without a message.
      */
     @Test
-    void aFailureInThePlatformsModuleIsRed() throws Exception {
-        Verdict verdict = withFailureListed()
-                .reported("b.ThirdTest", failed("b.ThirdTest", "three"))
-                .judge();
+    void aFailureInThePlatformModuleIsRed() throws Exception {
+        Verdict verdict = withKnownFailure()
+                .withReport("b.ThirdTest", failed("b.ThirdTest", "three"))
+                .verify();
 
         assertThat(verdict.green()).as(verdict.output()).isFalse();
         assertThat(verdict.output()).containsOnlyOnce("b.ThirdTest.three");
-        assertThat(verdict.closing()).contains("1 passed, 1 failed and not listed, 1 failed as listed");
+        assertThat(verdict.lastLine()).contains("1 passed, 1 failed and not listed, 1 failed as listed");
     }
 
-    /** With nothing listed, Maven isn't asked to stop at failures either: the reports decide in both cases. */
+    /** Maven does not stop at failures even if nothing is listed: in both cases the reports decide. */
     @ParameterizedTest
     @ValueSource(strings = {"failure", "error"})
     void aFailureIsRedWithNothingListed(String kind) throws Exception {
-        Verdict verdict = run.reported("a.FirstTest", failed("a.FirstTest", "one", kind, "x"))
-                .judge();
+        Verdict verdict = build.withReport("a.FirstTest", failed("a.FirstTest", "one", kind, "x"))
+                .verify();
 
         assertThat(verdict.green()).as(verdict.output()).isFalse();
         assertThat(verdict.output()).contains("a.FirstTest.one");
-        assertThat(verdict.closing()).contains("1 failed and not listed");
+        assertThat(verdict.lastLine()).contains("1 failed and not listed");
     }
 
     /**
-     * A change landed though no test of a class had run: the settings of a machine left them out, or their reports were
-     * lost. Only failures were looked for in what reports there were, and where there is no report there is no failure.
+     * Guards against test classes that did not run, because of the settings of a machine, or whose reports were lost: when
+     * only the existing reports were searched for failures, a missing report counted as no failure.
      */
     @ParameterizedTest
     @CsvSource({"a.FirstTest, true", "a.FirstTest, false", "b.ThirdTest, true", "b.ThirdTest, false"})
     void aTestClassWithoutReportIsRed(String type, boolean listed) throws Exception {
         Verdict verdict =
-                (listed ? withFailureListed() : run).withoutReport(type).judge();
+                (listed ? withKnownFailure() : build).withoutReport(type).verify();
 
         assertThat(verdict.green()).as(verdict.output()).isFalse();
         assertThat(verdict.output()).contains(type);
     }
 
     /**
-     * The disk was full while a report was written: the class's failures were in the part that is missing, and the run was
-     * green. A report counts only when it is whole, has a test and shows all the failures of its head.
+     * Guards against truncated reports, for example when the disk is full: the failures may be in the missing part. A report
+     * is valid only if it is complete, has a test and contains as many failures as its header states.
      */
     @ParameterizedTest
     @ValueSource(
@@ -104,114 +104,123 @@
                 "  <!-- no test -->\n",
                 "  <rerun><failure /></rerun><testcase name=\"one\" classname=\"a.FirstTest\"/>\n"
             })
-    void aReportThatIsNotWholeIsRed(String testCases) throws Exception {
-        Verdict verdict = withFailureListed().reported("a.FirstTest", testCases).judge();
+    void anIncompleteReportIsRed(String testCases) throws Exception {
+        Verdict verdict =
+                withKnownFailure().withReport("a.FirstTest", testCases).verify();
 
         assertThat(verdict.green()).as(verdict.output()).isFalse();
         assertThat(verdict.output()).contains("TEST-a.FirstTest.xml");
     }
 
-    /** A test process that ends by itself fails Maven also when failed tests don't, as formatter, linter and compiler do. */
+    /**
+     * Maven ignores test failures, but still fails if a test process exits by itself or if the formatter, the linter or the
+     * compiler fails.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void aFailureOfMavenItselfIsRed(boolean listed) throws Exception {
-        Verdict verdict = (listed ? withFailureListed() : run).mavenEndsWith(1).judge();
+        Verdict verdict =
+                (listed ? withKnownFailure() : build).withMavenStatus(1).verify();
 
         assertThat(verdict.green()).as(verdict.output()).isFalse();
     }
 
     /**
-     * With one known red test in the list, another one whose name is the beginning of the listed name, or a piece of the
-     * line, failed and the change landed. The name was looked for anywhere in the file's lines.
+     * Guards against matching names as substrings of the file's lines: a failed test that was not listed passed if its name
+     * was a prefix of a listed name or another part of a line.
      */
     @ParameterizedTest
     @CsvSource({"a.FirstTest, on", "a.FirstTest, one", "a.First, oneMore", "a.FirstTest, oneMor", "t.FirstTest, oneMore"
     })
-    void aNameThatIsAPieceOfAListedOneIsRed(String type, String method) throws Exception {
-        Verdict verdict = run.reported(
+    void aNameThatIsASubstringOfAListedLineIsRed(String type, String method) throws Exception {
+        Verdict verdict = build.withReport(
                         "a.FirstTest",
                         failed("a.FirstTest", "oneMore"),
                         failed(type, method),
                         passed("a.FirstTest", "x"))
-                .listed("a.FirstTest.oneMore, ./verify -Dtest=a.FirstTest.one, t.FirstTest.oneMore: late, #12")
-                .judge();
+                .withKnownRed("a.FirstTest.oneMore, ./verify -Dtest=a.FirstTest.one, t.FirstTest.oneMore: late, #12")
+                .verify();
 
         assertThat(verdict.green()).as(verdict.output()).isFalse();
         assertThat(verdict.output()).contains("  " + type + "." + method + "\n");
     }
 
-    /** A known red test that is flaky passes at times; that may not stop a change, but its line may not stay unseen. */
+    /** A listed flaky test may pass: this must not fail the build, but its line must be printed. */
     @Test
-    void aListedTestThatPassesIsNamedAndGreen() throws Exception {
-        Verdict verdict = withFailureListed()
-                .listed("b.ThirdTest.three" + ENTRY, "a.FirstTest" + ENTRY)
-                .judge();
+    void aListedTestThatPassesIsGreenAndPrinted() throws Exception {
+        Verdict verdict = withKnownFailure()
+                .withKnownRed("b.ThirdTest.three" + ENTRY, "a.FirstTest" + ENTRY)
+                .verify();
 
         assertThat(verdict.green()).as(verdict.output()).isTrue();
         assertThat(verdict.output())
                 .containsSubsequence("and passed", "b.ThirdTest.three" + ENTRY, "a.FirstTest" + ENTRY);
-        assertThat(verdict.closing()).contains("2 passed", "1 failed as listed", "3 listed in KNOWN-RED.txt; green");
+        assertThat(verdict.lastLine()).contains("2 passed", "1 failed as listed", "3 listed in KNOWN-RED.txt; green");
     }
 
     /**
-     * A test was renamed after its mending and its line stayed: had a new test got the old name, its failures would have
-     * landed. A line that lists no test that ran, also one with a typing error or of a disabled test, has to go first.
+     * Guards against stale lines, for example after a test was fixed and renamed: a new test with the old name would be
+     * allowed to fail. A line that matches no executed test is an error, also if it is mistyped or its test is disabled.
      */
     @ParameterizedTest
     @ValueSource(strings = {"a.FirstTest.won", "FirstTest.one", "a.FirstTest.off", "a"})
-    void aListedNameThatNoTestRanUnderIsRed(String name) throws Exception {
-        Verdict verdict = run.reported("a.FirstTest", passed("a.FirstTest", "one"), skipped("a.FirstTest", "off"))
-                .listed(name + ENTRY)
-                .judge();
+    void aListedNameWithoutAnExecutedTestIsRed(String name) throws Exception {
+        Verdict verdict = build.withReport("a.FirstTest", passed("a.FirstTest", "one"), skipped("a.FirstTest", "off"))
+                .withKnownRed(name + ENTRY)
+                .verify();
 
         assertThat(verdict.green()).as(verdict.output()).isFalse();
         assertThat(verdict.output()).contains(name + ENTRY);
-        assertThat(verdict.closing()).contains("3 passed", "1 skipped");
+        assertThat(verdict.lastLine()).contains("3 passed", "1 skipped");
     }
 
     /**
-     * A method with parameters was listed and its known failure stopped every change. The reports give each run a name of its
-     * own, with the types and a number after the method's, and that name stands in no line: one line lists all runs of a
-     * method, be they of parameters, of repetitions or of a factory.
+     * Guards against a listed parameterized test that still fails the build. In the reports each invocation has its own
+     * name, with parameter types and an index after the method name, so it matches no line: one line covers all invocations
+     * of a method, whether parameterized, repeated or from a factory.
      */
     @ParameterizedTest
     @ValueSource(strings = {"many(String,int)[2]", "many()[1][2]", "many(Path)", "many{String}[1]", "many"})
-    void allRunsOfAListedMethodAreListed(String reported) throws Exception {
-        Verdict verdict = run.reported(
-                        "a.FirstTest", passed("a.FirstTest", "many(String,int)[1]"), failed("a.FirstTest", reported))
-                .listed("a.FirstTest.many" + ENTRY)
-                .judge();
+    void aListedMethodCoversAllItsInvocations(String reportedName) throws Exception {
+        Verdict verdict = build.withReport(
+                        "a.FirstTest",
+                        passed("a.FirstTest", "many(String,int)[1]"),
+                        failed("a.FirstTest", reportedName))
+                .withKnownRed("a.FirstTest.many" + ENTRY)
+                .verify();
 
         assertThat(verdict.green()).as(verdict.output()).isTrue();
         assertThat(verdict.output()).doesNotContain("and passed");
     }
 
-    /** Surefire reports jqwik's properties under a class without its package, and a group under the group's name alone. */
+    /** Surefire reports jqwik properties under the class name without its package, and groups under the group name alone. */
     @ParameterizedTest
     @CsvSource({
         "a.FirstTest$Inner, a.FirstTest$Inner.deep",
         "FirstTest, a.FirstTest.deep",
         "Inner, a.FirstTest$Inner.deep"
     })
-    void nestedClassesAndPropertiesHaveFullNames(String reported, String name) throws Exception {
-        run.reported("a.FirstTest", passed("a.FirstTest", "one"), failed(reported, "deep"));
+    void nestedClassesAndPropertiesHaveFullNames(String reportedClass, String name) throws Exception {
+        build.withReport("a.FirstTest", passed("a.FirstTest", "one"), failed(reportedClass, "deep"));
 
-        Verdict unlisted = run.judge();
-        Verdict listed = run.listed(name + ENTRY).judge();
+        Verdict unlisted = build.verify();
+        Verdict listed = build.withKnownRed(name + ENTRY).verify();
 
         assertThat(unlisted.green()).as(unlisted.output()).isFalse();
         assertThat(unlisted.output()).contains("  " + name + "\n");
         assertThat(listed.green()).as(listed.output()).isTrue();
     }
 
-    /** A failed {@code @BeforeAll} or {@code @AfterAll} is reported without a method: the class itself is listed for it. */
+    /**
+     * A failed {@code @BeforeAll} or {@code @AfterAll} is reported without a method: only an entry for the class covers it.
+     */
     @Test
-    void aFailureOfTheWholeClassIsNotThatOfAListedMethod() throws Exception {
-        run.reported("a.FirstTest", failed("a.FirstTest", "one"), failed("a.FirstTest", "", "error", "before"))
-                .listed("a.FirstTest.one" + ENTRY);
+    void aClassFailureIsNotCoveredByAListedMethod() throws Exception {
+        build.withReport("a.FirstTest", failed("a.FirstTest", "one"), failed("a.FirstTest", "", "error", "before"))
+                .withKnownRed("a.FirstTest.one" + ENTRY);
 
-        Verdict unlisted = run.judge();
-        Verdict listed = run.listed("a.FirstTest" + ENTRY).judge();
+        Verdict unlisted = build.verify();
+        Verdict listed = build.withKnownRed("a.FirstTest" + ENTRY).verify();
 
         assertThat(unlisted.green()).as(unlisted.output()).isFalse();
         assertThat(unlisted.output()).contains("  a.FirstTest\n");
@@ -219,34 +228,34 @@
     }
 
     /**
-     * A class with tests of two engines, JUnit's and jqwik's: a failure of the first landed while something was listed. Each
-     * engine's run of the class writes the short report anew, the second over the first; the XML report keeps both.
+     * Guards against a lost failure in a class with tests of two engines, JUnit and jqwik: each engine overwrites the text
+     * report of the class, so the failures of the first one are lost there. The XML report contains the results of both.
      */
     @Test
-    void aFailureThatTheShortReportLostIsRed() throws Exception {
-        Verdict verdict = withFailureListed()
-                .reported("a.FirstTest", failed("a.FirstTest", "one"), passed("FirstTest", "property"))
-                .shortReported("a.FirstTest", "Test set: a.FirstTest\nTests run: 1, Failures: 0\n")
-                .judge();
+    void aFailureMissingFromTheTextReportIsRed() throws Exception {
+        Verdict verdict = withKnownFailure()
+                .withReport("a.FirstTest", failed("a.FirstTest", "one"), passed("FirstTest", "property"))
+                .withTextReport("a.FirstTest", "Test set: a.FirstTest\nTests run: 1, Failures: 0\n")
+                .verify();
 
         assertThat(verdict.green()).as(verdict.output()).isFalse();
         assertThat(verdict.output()).contains("  a.FirstTest.one\n");
     }
 
-    /** What a test prints stands in its report as it is, also when it looks like a report. */
+    /** The output of a test is copied to its report unchanged, even if it looks like a report itself. */
     @Test
-    void printedTextIsNoResult() throws Exception {
+    void testOutputIsNotParsedAsAReport() throws Exception {
         String printed =
                 "<testcase name=\"no\" classname=\"a.No\"><failure>\n</testcase> ]]]]><![CDATA[>\n</testsuite>";
-        Verdict verdict = run.reported(
+        Verdict verdict = build.withReport(
                         "a.FirstTest",
                         failed("a.FirstTest", "one", "failure", printed),
                         "  <testcase name=\"more\" classname=\"a.FirstTest\">\n<system-out><![CDATA[" + printed
                                 + "]]></system-out>\n  </testcase>\n")
-                .listed("a.FirstTest.one" + ENTRY)
-                .judge();
+                .withKnownRed("a.FirstTest.one" + ENTRY)
+                .verify();
 
         assertThat(verdict.green()).as(verdict.output()).isTrue();
-        assertThat(verdict.closing()).contains("3 passed, 0 failed and not listed, 1 failed as listed");
+        assertThat(verdict.lastLine()).contains("3 passed, 0 failed and not listed, 1 failed as listed");
     }
 }
--- a/wagtaillug-tool/src/test/java/org/wagtaillug/tool/gate/WrittenRun.java
+++ b/wagtaillug-tool/src/test/java/org/wagtaillug/tool/gate/SimulatedBuild.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** A root folder with the real gate in it, two modules with sources and written reports, and a stand-in for Maven. */
-final class WrittenRun {
+/** A project directory with the real {@code ./verify}, two modules with sources and generated reports, and a fake Maven. */
+final class SimulatedBuild {
     private static final long VERDICT_SECONDS = 30;
     private static final Path REAL_ROOT = Path.of("..");
     private static final String POM = """
@@ -31,25 +31,25 @@
 
     private final Path root;
     private final Map<String, String> cases = new LinkedHashMap<>();
-    private final Map<String, String> shortReports = new LinkedHashMap<>();
+    private final Map<String, String> textReports = new LinkedHashMap<>();
     private int mavenStatus;
     private String knownRed = "# one line each\n";
 
-    private WrittenRun(Path root) {
+    private SimulatedBuild(Path root) {
         this.root = root;
     }
 
-    /** All tests pass: core has the classes a.FirstTest and a.SecondTest, platform has b.ThirdTest. */
-    static WrittenRun passing(Path root) throws IOException {
-        WrittenRun run = new WrittenRun(root);
-        run.testClass("wagtaillug-core", "a.FirstTest")
+    /** A build whose tests all pass: a.FirstTest and a.SecondTest in core, b.ThirdTest in platform. */
+    static SimulatedBuild passing(Path root) throws IOException {
+        SimulatedBuild build = new SimulatedBuild(root);
+        build.testClass("wagtaillug-core", "a.FirstTest")
                 .testClass("wagtaillug-core", "a.SecondTest")
                 .testClass("platform", "b.ThirdTest");
-        run.source("wagtaillug-core", "a.TestWorld", "class TestWorld {}");
-        run.source("wagtaillug-benchmarks", "c.MeasuredTest", "import org.junit.jupiter.api.Test;");
-        run.reported("a.FirstTest", passed("a.FirstTest", "one"));
-        run.reported("a.SecondTest", passed("a.SecondTest", "two"));
-        return run.reported("b.ThirdTest", passed("b.ThirdTest", "three"));
+        build.source("wagtaillug-core", "a.TestWorld", "class TestWorld {}");
+        build.source("wagtaillug-benchmarks", "c.MeasuredTest", "import org.junit.jupiter.api.Test;");
+        build.withReport("a.FirstTest", passed("a.FirstTest", "one"));
+        build.withReport("a.SecondTest", passed("a.SecondTest", "two"));
+        return build.withReport("b.ThirdTest", passed("b.ThirdTest", "three"));
     }
 
     static String passed(String type, String name) {
@@ -70,45 +70,45 @@
                 + " message=\"no\" type=\"x.Y\"><![CDATA[" + text + "\n]]></" + kind + ">\n  </testcase>\n";
     }
 
-    private WrittenRun testClass(String module, String type) throws IOException {
+    private SimulatedBuild testClass(String module, String type) throws IOException {
         return source(module, type, "import org.junit.jupiter.api.Test;");
     }
 
-    WrittenRun source(String module, String type, String text) throws IOException {
+    SimulatedBuild source(String module, String type, String text) throws IOException {
         Path file = root.resolve(module).resolve("src/test/java").resolve(type.replace('.', '/') + ".java");
         Files.createDirectories(file.getParent());
         Files.writeString(file, text + "\n");
         return this;
     }
 
-    /** Replaces the report of class {@code type} by one of {@code testCases}. */
-    WrittenRun reported(String type, String... testCases) {
+    /** Replaces the report of class {@code type} by one with the given test cases. */
+    SimulatedBuild withReport(String type, String... testCases) {
         cases.put(type, String.join("", testCases));
         return this;
     }
 
-    WrittenRun withoutReport(String type) {
+    SimulatedBuild withoutReport(String type) {
         cases.remove(type);
         return this;
     }
 
-    /** Gives class {@code type} another short report than the one that fits its tests. */
-    WrittenRun shortReported(String type, String text) {
-        shortReports.put(type, text);
+    /** Replaces the text report of class {@code type}, which otherwise matches its XML report. */
+    SimulatedBuild withTextReport(String type, String text) {
+        textReports.put(type, text);
         return this;
     }
 
-    WrittenRun listed(String... lines) {
+    SimulatedBuild withKnownRed(String... lines) {
         knownRed += String.join("\n", lines) + "\n";
         return this;
     }
 
-    WrittenRun mavenEndsWith(int status) {
+    SimulatedBuild withMavenStatus(int status) {
         mavenStatus = status;
         return this;
     }
 
-    Verdict judge() throws IOException, InterruptedException {
+    Verdict verify() throws IOException, InterruptedException {
         Files.writeString(root.resolve("pom.xml"), POM);
         Files.writeString(root.resolve("KNOWN-RED.txt"), knownRed);
         for (Map.Entry<String, String> report : cases.entrySet()) {
@@ -123,19 +123,19 @@
         Files.createDirectories(maven.getParent());
         Files.writeString(maven, "#!/bin/sh\necho \"Maven was asked: $*\"\nexit " + mavenStatus + "\n");
         if (!maven.toFile().setExecutable(true)) {
-            throw new IOException(maven + " can't be made executable");
+            throw new IOException(maven + " cannot be made executable");
         }
         return start(maven.getParent());
     }
 
-    private Verdict start(Path folderOfMaven) throws IOException, InterruptedException {
+    private Verdict start(Path mavenDirectory) throws IOException, InterruptedException {
         Path output = root.resolve("output");
         ProcessBuilder builder = new ProcessBuilder(
                         List.of("sh", root.resolve("verify").toString()))
                 .redirectErrorStream(true)
                 .redirectOutput(output.toFile());
         builder.environment().put("JAVA_HOME", System.getProperty("java.home"));
-        builder.environment().compute("PATH", (name, path) -> folderOfMaven + ":" + path);
+        builder.environment().compute("PATH", (name, path) -> mavenDirectory + ":" + path);
         Process process = builder.start();
         if (!process.waitFor(VERDICT_SECONDS, TimeUnit.SECONDS)) {
             process.destroyForcibly();
@@ -153,41 +153,42 @@
 
     private void write(String type, String testCases) throws IOException {
         String module = type.startsWith("b.") ? "platform" : "wagtaillug-core";
-        Path folder = root.resolve(module).resolve("target/surefire-reports");
-        Files.createDirectories(folder);
+        Path directory = root.resolve(module).resolve("target/surefire-reports");
+        Files.createDirectories(directory);
         int failures = testCases.split("<failure ", -1).length - 1;
         int errors = testCases.split("<error ", -1).length - 1;
         String end = testCases.endsWith("\n") ? "</testsuite>" : "";
         Files.writeString(
-                folder.resolve("TEST-" + type + ".xml"),
+                directory.resolve("TEST-" + type + ".xml"),
                 "<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n<testsuite version=\"3.0.2\" name=\"" + type
                         + "\" time=\"0.1\" tests=\"1\" errors=\"" + errors + "\" skipped=\"0\" failures=\"" + failures
                         + "\">\n  <properties>\n    <property name=\"user.dir\" value=\"/x\"/>\n  </properties>\n"
                         + testCases + end);
-        Files.writeString(folder.resolve(type + ".txt"), shortReports.getOrDefault(type, shortReport(type, testCases)));
+        Files.writeString(
+                directory.resolve(type + ".txt"), textReports.getOrDefault(type, textReport(type, testCases)));
     }
 
-    /** Surefire's other report, which names the failed tests only. */
-    private static String shortReport(String type, String testCases) {
+    /** The text report of Surefire, which contains only the failed tests. */
+    private static String textReport(String type, String testCases) {
         StringBuilder text = new StringBuilder("Test set: " + type + "\n");
         for (String testCase : testCases.split("  <testcase name=\"")) {
             if (testCase.contains("<failure ") || testCase.contains("<error ")) {
                 String name = testCase.substring(0, testCase.indexOf('"'));
-                String mark = testCase.contains("<error ") ? "ERROR" : "FAILURE";
+                String marker = testCase.contains("<error ") ? "ERROR" : "FAILURE";
                 text.append(type).append(name.isEmpty() ? "" : "." + name);
-                text.append(" -- Time elapsed: 0.001 s <<< ").append(mark).append("!\n");
+                text.append(" -- Time elapsed: 0.001 s <<< ").append(marker).append("!\n");
             }
         }
         return text.toString();
     }
 
-    /** What {@code ./verify} ended with and printed. */
+    /** The exit status and output of {@code ./verify}. */
     record Verdict(int status, String output) {
         boolean green() {
             return status == 0;
         }
 
-        String closing() {
+        String lastLine() {
             return output.lines().reduce("", (first, second) -> second);
         }
     }
