--- a/wagtaillug-examples/src/main/java/org/wagtaillug/examples/CheckContracts.java
+++ b/wagtaillug-examples/src/main/java/org/wagtaillug/examples/CheckContracts.java
@@ -10,11 +10,11 @@
 import org.wagtaillug.settings.Contracts;
 import org.wagtaillug.settings.SettingsProblem;
 
-/** Reads a file of contracts and says what is in it, or every problem with its line. */
+/** Parses a contract file and prints the keys of its contracts, or all problems with their lines. */
 public final class CheckContracts {
     private CheckContracts() {}
 
-    /** Checks the file named first. */
+    /** Checks the file given as the first argument. */
     public static void main(String[] arguments) throws IOException {
         check(Path.of(arguments[0])).forEach(System.out::println);
     }
--- a/wagtaillug-examples/src/main/java/org/wagtaillug/examples/DriveOneNode.java
+++ b/wagtaillug-examples/src/main/java/org/wagtaillug/examples/DriveOneNode.java
@@ -15,13 +15,13 @@
 import org.wagtaillug.node.NodeSetup;
 
 /**
- * Drives a node by hand, one event at a time, without any socket: it reads an empty log, joins the roster, and says that it
- * is ready. Shows how another frame than the daemon carries a node.
+ * Drives a node event by event, without any network connection: the node reads an empty log, joins the roster and becomes
+ * ready. Shows how a program other than the daemon can embed a node.
  */
 public final class DriveOneNode {
     private final Node node;
-    private final List<LogRecord> control = new ArrayList<>();
-    private final List<String> seen = new ArrayList<>();
+    private final List<LogRecord> controlStream = new ArrayList<>();
+    private final List<String> output = new ArrayList<>();
     private Instant now = Instant.parse("2026-12-01T08:00:00Z");
 
     private DriveOneNode() {
@@ -30,50 +30,50 @@
         node = new Node(NodeSetup.builder(self, address).build());
     }
 
-    /** Prints what the node wanted done in its first second. */
+    /** Prints the effects that the node requested in its first second. */
     public static void main(String[] arguments) {
         run().forEach(System.out::println);
     }
 
     static List<String> run() {
-        DriveOneNode drive = new DriveOneNode();
-        Instant end = drive.now.plusSeconds(1);
-        while (drive.now.isBefore(end)) {
-            drive.hand(new Event.Tick());
-            drive.now = drive.now.plus(Node.TICK_INTERVAL);
+        DriveOneNode driver = new DriveOneNode();
+        Instant end = driver.now.plusSeconds(1);
+        while (driver.now.isBefore(end)) {
+            driver.deliver(new Event.Tick());
+            driver.now = driver.now.plus(Node.TICK_INTERVAL);
         }
-        return drive.seen;
+        return driver.output;
     }
 
-    private void hand(Event event) {
+    private void deliver(Event event) {
         for (Effect effect : node.handle(event, now)) {
-            carryOut(effect);
+            execute(effect);
         }
     }
 
-    private void carryOut(Effect effect) {
+    private void execute(Effect effect) {
         switch (effect) {
-            case Effect.ReadLog read -> hand(new Event.LogRead(read.stream(), now, batch(read)));
+            case Effect.ReadLog read -> deliver(new Event.LogRead(read.stream(), now, batch(read)));
             case Effect.AppendToLog append -> append(append);
-            case Effect.ReadVmList ignored -> hand(new Event.VmListRead(List.of()));
+            case Effect.ReadVmList ignored -> deliver(new Event.VmListRead(List.of()));
             case Effect.ReadinessChanged changed ->
-                seen.add("ready: " + changed.ready() + " (" + changed.reason() + ")");
-            default -> seen.add(effect.getClass().getSimpleName());
+                output.add("ready: " + changed.ready() + " (" + changed.reason() + ")");
+            default -> output.add(effect.getClass().getSimpleName());
         }
     }
 
     private LogBatch batch(Effect.ReadLog read) {
         List<LogBatch.Entry> entries = new ArrayList<>();
-        long end = read.stream() == LogStream.CONTROL ? control.size() + 1 : 1;
+        long end = read.stream() == LogStream.CONTROL ? controlStream.size() + 1 : 1;
         for (long offset = read.from(); offset < end; offset++) {
-            entries.add(new LogBatch.Entry(offset, now, control.get((int) offset - 1)));
+            entries.add(new LogBatch.Entry(offset, now, controlStream.get((int) offset - 1)));
         }
         return new LogBatch(read.from(), 1, end, entries);
     }
 
     private void append(Effect.AppendToLog append) {
-        seen.add("append: " + append.record());
-        control.add(append.record());
-        hand(new Event.LogAppended(append.append(), control.size()));
+        output.add("append: " + append.record());
+        controlStream.add(append.record());
+        deliver(new Event.LogAppended(append.append(), controlStream.size()));
     }
 }
--- a/wagtaillug-examples/src/main/java/org/wagtaillug/examples/package-info.java
+++ b/wagtaillug-examples/src/main/java/org/wagtaillug/examples/package-info.java
@@ -1,2 +1,2 @@
-/** Short programs that show the core and the settings in use. */
+/** Short example programs that use the core and the settings. */
 package org.wagtaillug.examples;
--- a/wagtaillug-examples/src/test/java/org/wagtaillug/examples/ExamplesRunTest.java
+++ b/wagtaillug-examples/src/test/java/org/wagtaillug/examples/ExamplesRunTest.java
@@ -10,15 +10,15 @@
 
 class ExamplesRunTest {
     @Test
-    void aNodeDrivenByHandJoinsTheRosterAndBecomesReady() {
+    void aNodeDrivenByTheExampleJoinsTheRosterAndBecomesReady() {
         assertThat(DriveOneNode.run())
                 .contains("ready: true (FRESH)")
                 .anyMatch(line -> line.startsWith("append: RosterChange[kind=JOIN"));
     }
 
     @Test
-    void aMistypedFieldIsNamedWithItsLineAndTheNearestName(@TempDir Path folder) throws IOException {
-        Path file = folder.resolve("contracts.yaml");
+    void aMistypedFieldIsReportedWithItsLineAndTheNearestName(@TempDir Path directory) throws IOException {
+        Path file = directory.resolve("contracts.yaml");
         Files.writeString(file, "kind: pool\nid: encode\ncold_limti: 2\n");
         assertThat(CheckContracts.check(file)).singleElement().asString().contains(":3:", "cold_limit");
     }
