--- a/wagtaillug-tool/src/main/java/org/wagtaillug/tool/ViewCommands.java
+++ b/wagtaillug-tool/src/main/java/org/wagtaillug/tool/ViewCommands.java
@@ -24,7 +24,7 @@
 
 /** The commands that only read from nodes. */
 final class ViewCommands {
-    private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
+    private static final JsonNodeFactory JSON_NODES = JsonNodeFactory.instance;
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final ObjectMapper YAML =
             new ObjectMapper(new YAMLFactory().disable(YAMLGenerator.Feature.WRITE_DOC_START_MARKER));
@@ -42,12 +42,12 @@
     }
 
     private static Result diff(List<Body> bodies, ConfigurationView view) {
-        ObjectNode json = NODES.objectNode();
+        ObjectNode json = JSON_NODES.objectNode();
         ArrayNode entries = json.putArray("differences");
         List<String> lines = new ArrayList<>();
         for (Body body : bodies) {
             Optional<ConfigurationView.Entry> entry = view.entry(body.key());
-            JsonNode before = entry.map(ConfigurationView.Entry::body).orElse(NODES.objectNode());
+            JsonNode before = entry.map(ConfigurationView.Entry::body).orElse(JSON_NODES.objectNode());
             boolean isNew = entry.isEmpty() || entry.get().removed();
             ObjectNode entryJson = entries.addObject().put("key", body.key());
             entryJson.put("version", view.version(body.key()));
@@ -58,8 +58,8 @@
             entryJson.put("state", isNew ? "new" : "changed");
             lines.add(body.key() + (isNew ? ": new" : ": changed since version " + view.version(body.key())));
             ArrayNode fields = entryJson.putArray("fields");
-            for (BodyDifference.Line line :
-                    BodyDifference.between(isNew ? NODES.objectNode() : before, parseJson(Contracts.toJson(body)))) {
+            for (BodyDifference.Line line : BodyDifference.between(
+                    isNew ? JSON_NODES.objectNode() : before, parseJson(Contracts.toJson(body)))) {
                 lines.add("  " + line);
                 fields.addObject()
                         .put("path", line.path())
@@ -80,7 +80,7 @@
     }
 
     private static Result showAll(ConfigurationView view) {
-        ObjectNode json = NODES.objectNode();
+        ObjectNode json = JSON_NODES.objectNode();
         json.put("through", view.offset()).put("digest", view.digest());
         ArrayNode entries = json.putArray("entries");
         for (Map.Entry<String, ConfigurationView.Entry> entry : view.entries().entrySet()) {
@@ -99,7 +99,7 @@
         if (entry.isEmpty() || entry.get().removed()) {
             return Either.left(noSuchKey(key, view));
         }
-        ObjectNode json = NODES.objectNode().put("key", key);
+        ObjectNode json = JSON_NODES.objectNode().put("key", key);
         json.put("version", entry.get().version());
         json.set("body", entry.get().body());
         String text = "# " + key + ", version " + entry.get().version() + "\n"
@@ -154,7 +154,7 @@
 
     Either<ToolFailure, Result> requests() {
         return collectFromAllNodes("/admin/requests", "requests").map(requests -> {
-            ObjectNode json = NODES.objectNode();
+            ObjectNode json = JSON_NODES.objectNode();
             json.set("requests", requests);
             List<String> columns = List.of(
                     "request",
@@ -182,7 +182,7 @@
                 String text = "no queried node has decisions about the request \"" + request + "\"";
                 return Either.left(new ToolFailure.NotFound(text));
             }
-            ObjectNode json = NODES.objectNode().put("request", request);
+            ObjectNode json = JSON_NODES.objectNode().put("request", request);
             json.set("decisions", decisions);
             return Either.right(Result.ok(decisionText(decisions), json));
         });
@@ -209,7 +209,7 @@
 
     /** Concatenates the lists from all nodes. Fails if no node can serve the call or one refuses it for all nodes. */
     private Either<ToolFailure, ArrayNode> collectFromAllNodes(String path, String field) {
-        ArrayNode collected = NODES.arrayNode();
+        ArrayNode collected = JSON_NODES.arrayNode();
         List<String> reasons = new ArrayList<>();
         for (String node : client.nodes()) {
             switch (client.get(node, path)) {
@@ -243,7 +243,7 @@
             return Either.left(
                     CommandLine.usage("config: found \"" + String.join(" ", arguments) + "\"; expected digest"));
         }
-        ObjectNode json = NODES.objectNode();
+        ObjectNode json = JSON_NODES.objectNode();
         ArrayNode rows = json.putArray("nodes");
         Map<Long, String> digests = new HashMap<>();
         boolean equal = true;
