--- a/wagtaillug-logging/src/main/java/org/wagtaillug/logging/JsonLineFormatter.java
+++ b/wagtaillug-logging/src/main/java/org/wagtaillug/logging/JsonLineFormatter.java
@@ -14,52 +14,52 @@
 import java.util.logging.Level;
 import java.util.logging.LogRecord;
 
-/** One JSON object a line: time, level, logger, thread, and a message or the fields of {@link LogFields}. */
+/** Formats a log record as a JSON object on one line: time, level, logger, thread, and a message or {@link LogFields}. */
 final class JsonLineFormatter extends Formatter {
-    private static final DateTimeFormatter TIME =
+    private static final DateTimeFormatter TIME_FORMAT =
             DateTimeFormatter.ofPattern("yyyy-MM-dd'T'HH:mm:ss.SSS'Z'").withZone(ZoneOffset.UTC);
 
     private final JsonFactory json = new JsonFactory();
 
     @Override
-    public String format(LogRecord line) {
+    public String format(LogRecord logRecord) {
         StringWriter text = new StringWriter();
-        try (JsonGenerator object = json.createGenerator(text)) {
-            object.writeStartObject();
-            object.writeStringField("time", TIME.format(line.getInstant()));
-            object.writeStringField("level", levelName(line.getLevel()));
-            object.writeStringField("logger", line.getLoggerName());
-            object.writeStringField("thread", Thread.currentThread().getName());
-            writeContent(line, object);
-            if (line.getThrown() != null) {
-                object.writeStringField("fault", trace(line.getThrown()));
+        try (JsonGenerator generator = json.createGenerator(text)) {
+            generator.writeStartObject();
+            generator.writeStringField("time", TIME_FORMAT.format(logRecord.getInstant()));
+            generator.writeStringField("level", levelName(logRecord.getLevel()));
+            generator.writeStringField("logger", logRecord.getLoggerName());
+            generator.writeStringField("thread", Thread.currentThread().getName());
+            writeContent(logRecord, generator);
+            if (logRecord.getThrown() != null) {
+                generator.writeStringField("fault", stackTrace(logRecord.getThrown()));
             }
-            object.writeEndObject();
-        } catch (IOException impossible) {
-            throw new UncheckedIOException("a text in memory is always writable", impossible);
+            generator.writeEndObject();
+        } catch (IOException unexpected) {
+            throw new UncheckedIOException("writing to memory failed", unexpected);
         }
         return text.append('\n').toString();
     }
 
-    private void writeContent(LogRecord line, JsonGenerator object) throws IOException {
-        Object[] parameters = line.getParameters();
+    private void writeContent(LogRecord logRecord, JsonGenerator generator) throws IOException {
+        Object[] parameters = logRecord.getParameters();
         if (parameters == null || parameters.length != 1 || !(parameters[0] instanceof LogFields fields)) {
-            object.writeStringField("message", formatMessage(line));
+            generator.writeStringField("message", formatMessage(logRecord));
             return;
         }
         for (Map.Entry<String, String> field : fields.texts().entrySet()) {
-            object.writeStringField(field.getKey(), field.getValue());
+            generator.writeStringField(field.getKey(), field.getValue());
         }
         for (Map.Entry<String, List<String>> field : fields.lists().entrySet()) {
-            object.writeArrayFieldStart(field.getKey());
+            generator.writeArrayFieldStart(field.getKey());
             for (String value : field.getValue()) {
-                object.writeString(value);
+                generator.writeString(value);
             }
-            object.writeEndArray();
+            generator.writeEndArray();
         }
     }
 
-    /** The names of {@code System.Logger}, whose callers know no others. */
+    /** Returns the level name of {@code System.Logger}, which is the API that callers use. */
     private static String levelName(Level level) {
         if (level.intValue() >= Level.SEVERE.intValue()) {
             return System.Logger.Level.ERROR.name();
@@ -72,9 +72,9 @@
                 : System.Logger.Level.DEBUG.name();
     }
 
-    private static String trace(Throwable fault) {
+    private static String stackTrace(Throwable thrown) {
         StringWriter text = new StringWriter();
-        fault.printStackTrace(new PrintWriter(text));
+        thrown.printStackTrace(new PrintWriter(text));
         return text.toString();
     }
 }
--- a/wagtaillug-logging/src/main/java/org/wagtaillug/logging/LogFields.java
+++ b/wagtaillug-logging/src/main/java/org/wagtaillug/logging/LogFields.java
@@ -6,41 +6,41 @@
 import java.util.Map;
 
 /**
- * What a line says, in fields of their own instead of one text. Given as the only parameter of a line:
+ * Structured content of a log line: separate fields instead of a message. Passed as the only parameter of the log call:
  *
  * <pre>{@code
  * logger.log(Level.INFO, "{0}", LogFields.builder().text("decision", "send").build());
  * }</pre>
  *
- * @param texts fields of one value
- * @param lists fields of several values
+ * @param texts fields with one value
+ * @param lists fields with several values
  */
 public record LogFields(Map<String, String> texts, Map<String, List<String>> lists) {
-    /** No fields yet. */
+    /** Returns a builder without fields. */
     public static Builder builder() {
         return new Builder();
     }
 
-    /** Collects fields; a line shows them in the order in which they were added. */
+    /** Builds fields, which are written in the order in which they are added, those with one value first. */
     public static final class Builder {
         private final Map<String, String> texts = new LinkedHashMap<>();
         private final Map<String, List<String>> lists = new LinkedHashMap<>();
 
         private Builder() {}
 
-        /** Adds a field of one value. */
+        /** Adds a field with one value. */
         public Builder text(String name, String value) {
             texts.put(name, value);
             return this;
         }
 
-        /** Adds a field of several values. */
+        /** Adds a field with several values. */
         public Builder list(String name, List<String> values) {
             lists.put(name, new ArrayList<>(values));
             return this;
         }
 
-        /** The fields. */
+        /** Returns the fields that were added. */
         public LogFields build() {
             return new LogFields(texts, lists);
         }
--- a/wagtaillug-logging/src/main/java/org/wagtaillug/logging/LogSetup.java
+++ b/wagtaillug-logging/src/main/java/org/wagtaillug/logging/LogSetup.java
@@ -10,58 +10,59 @@
 import java.util.logging.StreamHandler;
 
 /**
- * Sets the process's logging up, before anything logs.
+ * Configures the logging of the process; must be called before anything is logged.
  *
  * <pre>{@code
  * LogSetup.jsonLines(System.out, System.Logger.Level.INFO);
  * }</pre>
  *
- * <p>The JDK's own logging stands behind {@code System.Logger}: it is there 20 ms after the start of a process, where a
- * library with configuration files, plug-ins and templates took 400 ms of processor time, a third of a node's start.
+ * <p>{@code System.Logger} is backed by {@code java.util.logging}, which is ready 20 ms after the start of a process. A
+ * logging library with configuration files, plug-ins and templates took 400 ms of CPU time, a third of the startup of a
+ * node.
  */
 public final class LogSetup {
-    private static final String MANAGER = "java.util.logging.manager";
+    private static final String MANAGER_PROPERTY = "java.util.logging.manager";
 
-    /** Libraries whose lines below a warning are of no use to operators. */
-    private static final List<String> QUIET = List.of("org.eclipse.jetty", "io.netty");
+    /** Libraries whose log lines below the level of warnings are of no use to operators. */
+    private static final List<String> WARNING_ONLY = List.of("org.eclipse.jetty", "io.netty");
 
-    /** Loggers are kept only while somebody holds them; levels that were set would be lost with them. */
-    private static final List<Logger> HELD = new ArrayList<>();
+    /** Strong references to loggers whose level was set: the JDK refers to them weakly, and a level is lost with its logger. */
+    private static final List<Logger> RETAINED = new ArrayList<>();
 
-    /** Set while a thread writes several lines that are flushed together. */
-    private static final ThreadLocal<Boolean> HOLDS_FLUSH = ThreadLocal.withInitial(() -> false);
+    /** Whether the current thread is writing lines that are flushed together. */
+    private static final ThreadLocal<Boolean> FLUSH_DEFERRED = ThreadLocal.withInitial(() -> false);
 
     private static volatile Runnable flush = () -> {};
 
     private LogSetup() {}
 
-    /** Writes the lines that a task logs on this thread with one write at its end. */
-    public static void writeTogether(Runnable lines) {
-        HOLDS_FLUSH.set(true);
+    /** Runs a task and flushes the lines that it logs on this thread once at its end, instead of line by line. */
+    public static void writeTogether(Runnable task) {
+        FLUSH_DEFERRED.set(true);
         try {
-            lines.run();
+            task.run();
         } finally {
-            HOLDS_FLUSH.set(false);
+            FLUSH_DEFERRED.set(false);
             flush.run();
         }
     }
 
-    /** Writes all lines from a level on to a stream, each as one JSON object. */
+    /** Writes all log lines of at least a level to a stream, each as one JSON object. */
     public static void jsonLines(OutputStream out, System.Logger.Level level) {
-        // Read by the JDK when the first logger is made.
-        System.setProperty(MANAGER, LastingLogManager.class.getName());
+        // The JDK reads this property when the first logger is created.
+        System.setProperty(MANAGER_PROPERTY, ShutdownSafeLogManager.class.getName());
         Logger root = Logger.getLogger("");
-        for (Handler before : root.getHandlers()) {
-            root.removeHandler(before);
+        for (Handler previous : root.getHandlers()) {
+            root.removeHandler(previous);
         }
-        Handler handler = new WriteThroughHandler(out);
+        Handler handler = new FlushingHandler(out);
         flush = handler::flush;
         root.addHandler(handler);
         root.setLevel(julLevel(level));
-        for (String name : QUIET) {
-            Logger quiet = Logger.getLogger(name);
-            quiet.setLevel(Level.WARNING);
-            HELD.add(quiet);
+        for (String name : WARNING_ONLY) {
+            Logger logger = Logger.getLogger(name);
+            logger.setLevel(Level.WARNING);
+            RETAINED.add(logger);
         }
     }
 
@@ -77,17 +78,17 @@
         };
     }
 
-    private static final class WriteThroughHandler extends StreamHandler {
-        private WriteThroughHandler(OutputStream out) {
+    private static final class FlushingHandler extends StreamHandler {
+        private FlushingHandler(OutputStream out) {
             super(out, new JsonLineFormatter());
             setLevel(Level.ALL);
         }
 
-        /** A process may be killed after any line. */
+        /** Flushes each line, because the process may be killed at any time. */
         @Override
-        public synchronized void publish(LogRecord line) {
-            super.publish(line);
-            if (!HOLDS_FLUSH.get()) {
+        public synchronized void publish(LogRecord logRecord) {
+            super.publish(logRecord);
+            if (!FLUSH_DEFERRED.get()) {
                 flush();
             }
         }
--- a/wagtaillug-logging/src/main/java/org/wagtaillug/logging/package-info.java
+++ b/wagtaillug-logging/src/main/java/org/wagtaillug/logging/package-info.java
@@ -1,2 +1,2 @@
-/** JSON lines behind {@code System.Logger}: one object a line, through the JDK's own logging. */
+/** Backend of {@code System.Logger} that writes one JSON object per line, based on {@code java.util.logging}. */
 package org.wagtaillug.logging;
--- a/wagtaillug-logging/src/test/java/org/wagtaillug/logging/LogSetupTest.java
+++ b/wagtaillug-logging/src/test/java/org/wagtaillug/logging/LogSetupTest.java
@@ -12,25 +12,25 @@
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final System.Logger logger = System.getLogger("org.wagtaillug.logging.example");
 
-    private String written() {
+    private String output() {
         return out.toString(StandardCharsets.UTF_8);
     }
 
     @Test
-    void aMessageIsOneObjectOnOneLine() {
+    void aMessageIsWrittenAsOneJsonObjectOnOneLine() {
         LogSetup.jsonLines(out, System.Logger.Level.INFO);
 
         logger.log(System.Logger.Level.WARNING, "said \"{0}\"\nand more", "this");
 
-        assertThat(written()).endsWith("}\n").containsOnlyOnce("\n");
-        assertThat(written())
+        assertThat(output()).endsWith("}\n").containsOnlyOnce("\n");
+        assertThat(output())
                 .contains("\"level\":\"WARNING\"")
                 .contains("\"logger\":\"org.wagtaillug.logging.example\"")
                 .contains("\"message\":\"said \\\"this\\\"\\nand more\"");
     }
 
     @Test
-    void fieldsStandInTheObjectItself() {
+    void fieldsAreWrittenToTheTopLevelOfTheObject() {
         LogSetup.jsonLines(out, System.Logger.Level.INFO);
 
         LogFields fields = LogFields.builder()
@@ -39,17 +39,17 @@
                 .build();
         logger.log(System.Logger.Level.INFO, "{0}", fields);
 
-        assertThat(written()).contains(",\"decision\":\"send\",\"alternatives\":[\"a\",\"b\"]}");
-        assertThat(written()).doesNotContain("\"message\"");
+        assertThat(output()).contains(",\"decision\":\"send\",\"alternatives\":[\"a\",\"b\"]}");
+        assertThat(output()).doesNotContain("\"message\"");
     }
 
     @Test
-    void aFaultIsWrittenWithItsTrace() {
+    void anExceptionIsWrittenWithItsStackTrace() {
         LogSetup.jsonLines(out, System.Logger.Level.INFO);
 
         logger.log(System.Logger.Level.ERROR, "broke", new IllegalStateException("because"));
 
-        assertThat(written()).contains("\"fault\":\"java.lang.IllegalStateException: because\\n\\tat ");
+        assertThat(output()).contains("\"fault\":\"java.lang.IllegalStateException: because\\n\\tat ");
     }
 
     @Test
@@ -59,25 +59,25 @@
         logger.log(System.Logger.Level.INFO, "too little");
         System.getLogger("org.eclipse.jetty.server").log(System.Logger.Level.INFO, "of no use");
 
-        assertThat(written()).isEmpty();
+        assertThat(output()).isEmpty();
     }
 
     /**
-     * A node is asked to end and finishes its requests. The runtime's shutdown hooks run beside that, and the JDK's own one
-     * closes the handlers of all loggers; what the node decides while it drains would never be written.
+     * Guards against log lines that are lost while a node drains its requests. The shutdown hooks of the JDK run concurrently
+     * with the drain, and the one of its log manager closes the handlers of all loggers.
      */
     @Test
-    void linesAreStillWrittenAfterTheRuntimeHasBegunToShutDown() throws Exception {
+    void linesAreStillWrittenAfterTheStartOfTheShutdown() throws Exception {
         Process process = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-cp",
                         System.getProperty("java.class.path"),
-                        LoggingWhileEnding.class.getName())
+                        LoggingDuringShutdown.class.getName())
                 .redirectErrorStream(true)
                 .start();
-        String lines = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        String processOutput = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
 
         assertThat(process.waitFor()).isZero();
-        assertThat(lines).contains("\"message\":\"runs\"").contains("\"message\":\"drained\"");
+        assertThat(processOutput).contains("\"message\":\"runs\"").contains("\"message\":\"drained\"");
     }
 }
--- a/wagtaillug-logging/src/test/java/org/wagtaillug/logging/LoggingWhileEnding.java
+++ b/wagtaillug-logging/src/test/java/org/wagtaillug/logging/LoggingDuringShutdown.java
@@ -2,12 +2,12 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** A process that logs a line some time after its end has begun. */
-final class LoggingWhileEnding {
-    /** Long enough for the runtime's own hooks, which run beside ours, to be over. */
-    private static final long HOOKS_ARE_OVER_MILLIS = 500;
+/** A process that logs a line some time after the start of its shutdown. */
+final class LoggingDuringShutdown {
+    /** Long enough for the concurrent shutdown hooks of the JDK to finish. */
+    private static final long JDK_HOOKS_MILLIS = 500;
 
-    private LoggingWhileEnding() {}
+    private LoggingDuringShutdown() {}
 
     public static void main(String[] arguments) {
         LogSetup.jsonLines(System.out, System.Logger.Level.INFO);
@@ -18,7 +18,7 @@
 
     private static void drain(System.Logger logger) {
         try {
-            TimeUnit.MILLISECONDS.sleep(HOOKS_ARE_OVER_MILLIS);
+            TimeUnit.MILLISECONDS.sleep(JDK_HOOKS_MILLIS);
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
