--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/DecisionLines.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/DecisionLines.java
@@ -73,7 +73,7 @@
     }
 
     private void write(List<Line> lines) {
-        LogSetup.writeTogether(() -> {
+        LogSetup.withSingleFlush(() -> {
             for (Line line : lines) {
                 LogFields.Builder fields = fields(line);
                 long lost = dropped.sum();
--- a/wagtaillug-logging/src/main/java/org/wagtaillug/logging/LogSetup.java
+++ b/wagtaillug-logging/src/main/java/org/wagtaillug/logging/LogSetup.java
@@ -37,7 +37,7 @@
     private LogSetup() {}
 
     /** Runs a task and flushes the lines that it logs on this thread once at its end, instead of line by line. */
-    public static void writeTogether(Runnable task) {
+    public static void withSingleFlush(Runnable task) {
         FLUSH_DEFERRED.set(true);
         try {
             task.run();
