--- a/wagtaillug-link/src/main/java/org/wagtaillug/link/BodyCodec.java
+++ b/wagtaillug-link/src/main/java/org/wagtaillug/link/BodyCodec.java
@@ -34,13 +34,13 @@
 import org.wagtaillug.link.generated.UnknownBodyMessage;
 import org.wagtaillug.link.generated.VmServiceMessage;
 
-/** Configuration bodies to and from protobuf. */
+/** Converts configuration bodies to and from protobuf. */
 final class BodyCodec {
     /**
-     * The kind under which a body of a newer program version is kept: its text is the base64 of its protobuf bytes, so
-     * that it leaves this node as it came.
+     * The kind of an {@link Body.Unknown} that holds a body of a kind introduced by a newer program version. Its text
+     * is the Base64 encoding of the protobuf bytes, so that this node forwards the body unchanged.
      */
-    private static final String NEWER_KIND = "protobuf";
+    private static final String NEWER_VERSION_KIND = "protobuf";
 
     private BodyCodec() {}
 
@@ -72,9 +72,9 @@
     }
 
     /**
-     * Reads a body.
+     * Decodes a body.
      *
-     * @throws IllegalArgumentException if a value is not one that the type allows
+     * @throws IllegalArgumentException if a value is outside the range of its type
      */
     static Body decode(BodyMessage message) {
         return switch (message.getKindCase()) {
@@ -95,16 +95,16 @@
                 new Body.Unknown(
                         message.getUnknown().getKind(), message.getUnknown().getText());
             case KIND_NOT_SET ->
-                new Body.Unknown(NEWER_KIND, Base64.getEncoder().encodeToString(message.toByteArray()));
+                new Body.Unknown(NEWER_VERSION_KIND, Base64.getEncoder().encodeToString(message.toByteArray()));
         };
     }
 
     private static BodyMessage encodeUnknown(Body.Unknown unknown) {
-        if (unknown.kind().equals(NEWER_KIND)) {
+        if (unknown.kind().equals(NEWER_VERSION_KIND)) {
             try {
                 return BodyMessage.parseFrom(Base64.getDecoder().decode(unknown.text()));
             } catch (InvalidProtocolBufferException | IllegalArgumentException exception) {
-                // Not made by decode(): goes on as the text that it is.
+                // Not produced by decode(): forward the text as it is.
                 return encodeText(unknown);
             }
         }
@@ -181,7 +181,8 @@
             case STAGE_WORK_GENERATE -> StageWork.GENERATE;
             case STAGE_WORK_CALL -> StageWork.CALL;
             case STAGE_WORK_UNSPECIFIED, UNRECOGNIZED ->
-                throw new IllegalArgumentException("stage work is " + work + "; expected TRANSFORM, GENERATE or CALL");
+                throw new IllegalArgumentException(
+                        "invalid stage work " + work + "; expected TRANSFORM, GENERATE or CALL");
         };
     }
 
--- a/wagtaillug-link/src/main/java/org/wagtaillug/link/ClaimCodec.java
+++ b/wagtaillug-link/src/main/java/org/wagtaillug/link/ClaimCodec.java
@@ -15,7 +15,7 @@
 import org.wagtaillug.result.ResultCode;
 import org.wagtaillug.result.RunState;
 
-/** Records of the claims stream to and from protobuf. */
+/** Converts records of the claims stream to and from protobuf. */
 final class ClaimCodec {
     private ClaimCodec() {}
 
@@ -28,8 +28,8 @@
     }
 
     /**
-     * Reads a batch. A claim of a kind that only a newer program knows is left out, so that the others in its batch
-     * still count in the same order everywhere.
+     * Decodes a batch. Skips claim records of a kind introduced by a newer program version, so that every node applies
+     * the other records of the batch in the same order.
      */
     static LogRecord.ClaimBatch decode(ClaimBatchMessage message) {
         List<ClaimRecord> claims = new ArrayList<>(message.getClaimsCount());
@@ -83,7 +83,7 @@
         return new ClaimRecord.Settled(key, claimId, decodeCode(message.getCode()), decode(message.getRun()), output);
     }
 
-    /** A number that only a newer program knows says no more than that the work has ended. */
+    /** Maps an unknown code, introduced by a newer program version, to one that only says that the work has ended. */
     private static ResultCode decodeCode(int number) {
         for (ResultCode code : ResultCode.values()) {
             if (code.number() == number) {
--- a/wagtaillug-link/src/main/java/org/wagtaillug/link/ControlCodec.java
+++ b/wagtaillug-link/src/main/java/org/wagtaillug/link/ControlCodec.java
@@ -17,7 +17,7 @@
 import org.wagtaillug.link.generated.StateMemberMessage;
 import org.wagtaillug.log.LogRecord;
 
-/** Records of the control stream, and the parts of the control state, to and from protobuf. */
+/** Converts records of the control stream, and the parts of the control state, to and from protobuf. */
 final class ControlCodec {
     private ControlCodec() {}
 
@@ -156,7 +156,8 @@
             case ROSTER_CHANGE_LEAVE -> LogRecord.RosterChangeKind.LEAVE;
             case ROSTER_CHANGE_REMOVE -> LogRecord.RosterChangeKind.REMOVE;
             case ROSTER_CHANGE_UNSPECIFIED, UNRECOGNIZED ->
-                throw new IllegalArgumentException("roster change is " + kind + "; expected JOIN, LEAVE or REMOVE");
+                throw new IllegalArgumentException(
+                        "invalid roster change " + kind + "; expected JOIN, LEAVE or REMOVE");
         };
     }
 }
--- a/wagtaillug-link/src/main/java/org/wagtaillug/link/GrantCodec.java
+++ b/wagtaillug-link/src/main/java/org/wagtaillug/link/GrantCodec.java
@@ -14,7 +14,7 @@
 import org.wagtaillug.link.generated.LoadReportMessage;
 import org.wagtaillug.message.PeerMessage;
 
-/** What nodes say about allowances, to and from protobuf. */
+/** Converts grant messages to and from protobuf. */
 final class GrantCodec {
     private GrantCodec() {}
 
--- a/wagtaillug-link/src/main/java/org/wagtaillug/link/LogRecordCodec.java
+++ b/wagtaillug-link/src/main/java/org/wagtaillug/link/LogRecordCodec.java
@@ -6,7 +6,7 @@
 import org.wagtaillug.log.LogRecord;
 
 /**
- * Records to and from the bytes that the log service keeps.
+ * Encodes and decodes the records that the log service stores.
  *
  * <pre>{@code
  * byte[] bytes = codec.encode(change);
@@ -15,7 +15,8 @@
  */
 public final class LogRecordCodec {
     /**
-     * Writes a record. Equal records give equal bytes. {@link LogRecord.Unreadable} holds no content, so it gives none.
+     * Encodes a record. Equal records have equal encodings. {@link LogRecord.Unreadable} has no content and encodes
+     * to an empty array.
      */
     public byte[] encode(LogRecord record) {
         LogRecordMessage.Builder message = LogRecordMessage.newBuilder();
@@ -31,7 +32,7 @@
         return message.build().toByteArray();
     }
 
-    /** Reads a record; {@link LogRecord.Unreadable} for anything that is not one. Never throws. */
+    /** Decodes a record; returns {@link LogRecord.Unreadable} for bytes that are not a valid record. Never throws. */
     public LogRecord decode(byte[] bytes) {
         try {
             return decode(LogRecordMessage.parseFrom(bytes), bytes.length);
@@ -39,7 +40,7 @@
                 | IllegalArgumentException
                 | ArithmeticException
                 | DateTimeException exception) {
-            // Another program, or a newer version, may write to the stream: its record must not stop all nodes.
+            // Another program or a newer version may write to the stream; its record must not stop every node.
             return new LogRecord.Unreadable(bytes.length);
         }
     }
--- a/wagtaillug-link/src/main/java/org/wagtaillug/link/PeerMessageCodec.java
+++ b/wagtaillug-link/src/main/java/org/wagtaillug/link/PeerMessageCodec.java
@@ -16,18 +16,18 @@
 import org.wagtaillug.message.PeerMessage;
 import org.wagtaillug.message.ServingMessage;
 
-/** Messages between nodes to and from bytes, with the names of sender and receiver. */
+/** Encodes and decodes messages between nodes, with their sender and receiver. */
 public final class PeerMessageCodec {
     /**
-     * A message with who said it and for whom it is meant.
+     * A message with its sender and receiver.
      *
-     * @param sender the node that said it
-     * @param receiver the VM of the node that it is meant for
-     * @param message what it says
+     * @param sender the node that sent it
+     * @param receiver the VM of the node that it is addressed to
+     * @param message the payload
      */
     public record Envelope(NodeId sender, VmId receiver, PeerMessage message) {}
 
-    /** Writes a message. */
+    /** Encodes a message; the inverse of {@link #decode}. */
     public byte[] encode(Envelope envelope) {
         EnvelopeMessage.Builder message = EnvelopeMessage.newBuilder()
                 .setSender(ControlCodec.encode(envelope.sender()))
@@ -46,7 +46,7 @@
         return message.build().toByteArray();
     }
 
-    /** Reads a message; the left side says what is wrong with it. Never throws. */
+    /** Decodes a message; the left side says why it is invalid. Never throws. */
     public Either<String, Envelope> decode(byte[] bytes) {
         try {
             return decode(EnvelopeMessage.parseFrom(bytes));
@@ -54,7 +54,7 @@
                 | IllegalArgumentException
                 | ArithmeticException
                 | DateTimeException exception) {
-            return Either.left("a message of " + bytes.length + " bytes cannot be read: " + exception.getMessage());
+            return Either.left("cannot decode a message of " + bytes.length + " bytes: " + exception.getMessage());
         }
     }
 
@@ -84,7 +84,7 @@
                     PIECES_WITHDRAWN,
                     RESULTS_RELEASED,
                     ROLLOUT_REPORT -> Either.right(new Envelope(sender, receiver, ServingCodec.decode(message)));
-            case KIND_NOT_SET -> Either.left("a message of " + sender + " is of no kind that this version knows");
+            case KIND_NOT_SET -> Either.left("unknown kind of message from " + sender);
         };
     }
 
--- a/wagtaillug-link/src/main/java/org/wagtaillug/link/ServingCodec.java
+++ b/wagtaillug-link/src/main/java/org/wagtaillug/link/ServingCodec.java
@@ -35,7 +35,7 @@
 import org.wagtaillug.message.ServingMessage;
 import org.wagtaillug.rollout.RolloutSample;
 
-/** What nodes that route by host and path say, to and from protobuf. */
+/** Converts the messages of nodes that route by host and path to and from protobuf. */
 final class ServingCodec {
     private ServingCodec() {}
 
@@ -59,9 +59,9 @@
     }
 
     /**
-     * Reads a message.
+     * Decodes a message.
      *
-     * @throws IllegalArgumentException if a value is not one that the type allows
+     * @throws IllegalArgumentException if a value is outside the range of its type
      */
     static ServingMessage decode(EnvelopeMessage envelope) {
         return switch (envelope.getKindCase()) {
@@ -80,7 +80,7 @@
                 new ServingMessage.ResultsReleased(
                         decode(envelope.getResultsReleased().getResultsList()));
             case ROLLOUT_REPORT -> decode(envelope.getRolloutReport());
-            default -> throw new IllegalArgumentException("kind is " + envelope.getKindCase());
+            default -> throw new IllegalArgumentException("not a serving message: " + envelope.getKindCase());
         };
     }
 
@@ -164,7 +164,7 @@
             case FEED_NAME_ROLLOUTS -> FeedName.ROLLOUTS;
             case FEED_NAME_UNSPECIFIED, UNRECOGNIZED ->
                 throw new IllegalArgumentException(
-                        "feed is " + name + "; expected CONFIGURATION, DIRECTORY, MEMBERSHIP or ROLLOUTS");
+                        "invalid feed " + name + "; expected CONFIGURATION, DIRECTORY, MEMBERSHIP or ROLLOUTS");
         };
     }
 
@@ -287,7 +287,7 @@
             case NOT_MADE_LATE -> BatchOutcome.Reason.LATE;
             case NOT_MADE_INPUTS_GONE -> BatchOutcome.Reason.INPUTS_GONE;
             case NOT_MADE_NO_UPSTREAM -> BatchOutcome.Reason.NO_UPSTREAM;
-            // A newer program may know more reasons; the pieces are not made all the same.
+            // A newer program version may send a reason unknown here; the pieces failed in any case.
             case NOT_MADE_FAILED, NOT_MADE_UNSPECIFIED, UNRECOGNIZED -> BatchOutcome.Reason.FAILED;
         };
     }
--- a/wagtaillug-link/src/main/java/org/wagtaillug/link/TimeCodec.java
+++ b/wagtaillug-link/src/main/java/org/wagtaillug/link/TimeCodec.java
@@ -6,7 +6,7 @@
 import org.wagtaillug.link.generated.DurationMessage;
 import org.wagtaillug.link.generated.InstantMessage;
 
-/** Points and lengths of time to and from protobuf, exact to the nanosecond. */
+/** Converts instants and durations to and from protobuf, with nanosecond precision. */
 final class TimeCodec {
     private TimeCodec() {}
 
@@ -25,18 +25,18 @@
     }
 
     /**
-     * Reads a length of time.
+     * Decodes a duration.
      *
-     * @throws ArithmeticException if it is longer than {@link Duration} can hold
+     * @throws ArithmeticException if it exceeds the range of {@link Duration}
      */
     static Duration decode(DurationMessage message) {
         return Duration.ofSeconds(message.getSeconds(), message.getNanos());
     }
 
     /**
-     * Reads a point in time.
+     * Decodes an instant.
      *
-     * @throws DateTimeException if it is beyond what {@link Instant} can hold
+     * @throws DateTimeException if it exceeds the range of {@link Instant}
      */
     static Instant decode(InstantMessage message) {
         return Instant.ofEpochSecond(message.getSeconds(), message.getNanos());
--- a/wagtaillug-link/src/test/java/org/wagtaillug/link/CodecTest.java
+++ b/wagtaillug-link/src/test/java/org/wagtaillug/link/CodecTest.java
@@ -42,44 +42,44 @@
     private final PeerMessageCodec messages = new PeerMessageCodec();
 
     @Property(tries = 1000, seed = "4")
-    void aRecordComesBackAsItWas(@ForAll("anyRecord") LogRecord record) {
+    void recordRoundTrips(@ForAll("anyRecord") LogRecord record) {
         assertThat(records.decode(records.encode(record))).isEqualTo(record);
     }
 
     @Property(tries = 1000, seed = "4")
-    void aMessageComesBackAsItWas(@ForAll("anyMessage") PeerMessage message, @ForAll("anyNode") NodeId sender) {
+    void messageRoundTrips(@ForAll("anyMessage") PeerMessage message, @ForAll("anyNode") NodeId sender) {
         PeerMessageCodec.Envelope envelope = new PeerMessageCodec.Envelope(sender, RECEIVER, message);
 
         assertThat(messages.decode(messages.encode(envelope)).get()).isEqualTo(envelope);
     }
 
     @Property(tries = 2000, seed = "4")
-    void anyBytesAreReadWithoutAnException(@ForAll byte[] bytes) {
+    void decodesAnyBytesWithoutAnException(@ForAll byte[] bytes) {
         assertThat(records.decode(bytes)).isNotNull();
         assertThat(messages.decode(bytes)).isNotNull();
     }
 
-    /** Damaged bytes of a real record come nearer to what a decoder trips over than random ones. */
+    /** Corrupted encodings of real records reach further into the decoder than random bytes. */
     @Property(tries = 2000, seed = "4")
-    void damagedBytesAreReadWithoutAnException(
-            @ForAll("anyRecord") LogRecord record, @ForAll int place, @ForAll byte value) {
+    void decodesCorruptedBytesWithoutAnException(
+            @ForAll("anyRecord") LogRecord record, @ForAll int offset, @ForAll byte value) {
         byte[] bytes = records.encode(record);
         if (bytes.length == 0) {
             return;
         }
-        bytes[Math.floorMod(place, bytes.length)] = value;
+        bytes[Math.floorMod(offset, bytes.length)] = value;
 
         assertThat(records.decode(bytes)).isNotNull();
-        assertThat(records.decode(Arrays.copyOf(bytes, Math.floorMod(place, bytes.length))))
+        assertThat(records.decode(Arrays.copyOf(bytes, Math.floorMod(offset, bytes.length))))
                 .isNotNull();
     }
 
     /**
-     * After half of the fleet was upgraded, old and new nodes disagree on which change won: the old ones lost a body of
-     * a kind that they did not know when they handed the state on. It must leave an old node as it came.
+     * Guards against old and new nodes disagreeing on which change won during an upgrade: if old nodes lost a body of
+     * a kind unknown to them when they forwarded the state, they would differ. An old node must forward it unchanged.
      */
     @Test
-    void aBodyOfANewerVersionIsHandedOnUnchanged() {
+    void forwardsABodyOfANewerVersionUnchanged() {
         UnknownFieldSet newer = UnknownFieldSet.newBuilder()
                 .addField(
                         UNUSED_FIELD,
@@ -103,9 +103,9 @@
         assertThat(records.encode(read)).isEqualTo(bytes);
     }
 
-    /** A claim of a kind that only newer nodes know must not hide the claims beside it, or a key would look free. */
+    /** A claim record of an unknown kind must not hide the others of its batch, or a claimed key would look free. */
     @Test
-    void aClaimOfANewerVersionDoesNotHideTheOthersOfItsBatch() {
+    void decodesABatchWithAClaimOfANewerVersion() {
         ClaimRecordMessage newer =
                 ClaimRecordMessage.newBuilder().setKey("k").setClaimId("c0").build();
         ClaimRecord known = new ClaimRecord.Abandoned("k", "c1");
@@ -118,19 +118,19 @@
         assertThat(records.decode(bytes)).isEqualTo(new LogRecord.ClaimBatch(List.of(known)));
     }
 
-    /** What nodes send one another several times a second has to stay small: 340 nodes share 9 KB a second each. */
+    /** Messages that nodes exchange several times a second must stay small: 340 nodes, with 9 KB/s for each. */
     @Test
     void frequentMessagesAreSmall() {
         PeerMessage.Position position = new PeerMessage.Position(1_000_000, 0x123456789abcdefL);
         List<PeerMessage.GrantDemand> demands = new ArrayList<>();
-        List<PeerMessage.GrantOffer> bare = new ArrayList<>();
-        List<PeerMessage.GrantOffer> reported = new ArrayList<>();
+        List<PeerMessage.GrantOffer> withoutReports = new ArrayList<>();
+        List<PeerMessage.GrantOffer> withReports = new ArrayList<>();
         LoadReport report = new LoadReport(TIME, TIME, 7, 3, 8, Optional.of(new ModelId("menu-7b")), 3, 1_000_000);
         for (int index = 0; index < UPSTREAMS; index++) {
             VmId upstream = new VmId("himalchuli-engine-" + (10 + index));
             demands.add(new PeerMessage.GrantDemand(upstream, 4, 3, 1_000_000, true, Optional.of(TIME)));
-            bare.add(new PeerMessage.GrantOffer(upstream, 4, Duration.ofSeconds(2), true, Optional.empty()));
-            reported.add(new PeerMessage.GrantOffer(upstream, 4, Duration.ofSeconds(2), true, Optional.of(report)));
+            withoutReports.add(new PeerMessage.GrantOffer(upstream, 4, Duration.ofSeconds(2), true, Optional.empty()));
+            withReports.add(new PeerMessage.GrantOffer(upstream, 4, Duration.ofSeconds(2), true, Optional.of(report)));
         }
 
         assertSize("Probe", new PeerMessage.Probe(1_000_000, position), 56);
@@ -139,8 +139,8 @@
                 new PeerMessage.ProbeReply(1_000_000, position, Optional.of(Duration.ofMillis(999)), true, true),
                 64);
         assertSize("GrantAsk with 16 demands", new PeerMessage.GrantAsk(1_000_000, 1_000_000, demands), 850);
-        assertSize("GrantReply with 16 offers", new PeerMessage.GrantReply(1_000_000, bare), 640);
-        assertSize("GrantReply with 16 reported offers", new PeerMessage.GrantReply(1_000_000, reported), 1_500);
+        assertSize("GrantReply with 16 offers", new PeerMessage.GrantReply(1_000_000, withoutReports), 640);
+        assertSize("GrantReply with 16 reported offers", new PeerMessage.GrantReply(1_000_000, withReports), 1_500);
     }
 
     @Test
@@ -162,13 +162,13 @@
         assertSize("Claimed", records.encode(claimed), 210);
     }
 
-    private void assertSize(String name, PeerMessage message, int most) {
-        assertSize(name, messages.encode(new PeerMessageCodec.Envelope(SENDER, RECEIVER, message)), most);
+    private void assertSize(String name, PeerMessage message, int maxBytes) {
+        assertSize(name, messages.encode(new PeerMessageCodec.Envelope(SENDER, RECEIVER, message)), maxBytes);
     }
 
-    private static void assertSize(String name, byte[] bytes, int most) {
+    private static void assertSize(String name, byte[] bytes, int maxBytes) {
         System.out.println(name + ": " + bytes.length + " bytes");
-        assertThat(bytes).as(name).hasSizeLessThanOrEqualTo(most);
+        assertThat(bytes).as(name).hasSizeLessThanOrEqualTo(maxBytes);
     }
 
     @Provide
--- a/wagtaillug-link/src/test/java/org/wagtaillug/link/Samples.java
+++ b/wagtaillug-link/src/test/java/org/wagtaillug/link/Samples.java
@@ -30,7 +30,7 @@
 import org.wagtaillug.result.ResultCode;
 import org.wagtaillug.result.RunState;
 
-/** Any record and any message. */
+/** Generators of arbitrary records and messages. */
 final class Samples {
     private static final Arbitrary<String> NAMES = Arbitraries.strings()
             .withChars("abc-é漢 ")
--- a/wagtaillug-link/src/test/java/org/wagtaillug/link/ServingCodecTest.java
+++ b/wagtaillug-link/src/test/java/org/wagtaillug/link/ServingCodecTest.java
@@ -72,7 +72,7 @@
 
     @ParameterizedTest
     @MethodSource("messages")
-    void aMessageComesBackAsItWas(ServingMessage message) {
+    void messageRoundTrips(ServingMessage message) {
         PeerMessageCodec codec = new PeerMessageCodec();
         NodeId sender = new NodeId(new VmId("10.1.0.41"), 5);
         byte[] bytes = codec.encode(new PeerMessageCodec.Envelope(sender, new VmId("10.1.0.42"), message));
