--- a/wagtaillug-link/src/main/java/org/wagtaillug/link/AcceptedConnection.java
+++ b/wagtaillug-link/src/main/java/org/wagtaillug/link/AcceptedConnection.java
@@ -14,8 +14,8 @@
 import org.wagtaillug.id.NodeId;
 
 /**
- * The accepting end of a connection that a peer made. The peer's messages come in here; acknowledgements go back, and what
- * this node says to a peer that it keeps no connection to.
+ * The accepting end of a connection that a peer opened. Receives the peer's messages, and sends acknowledgements
+ * back, as well as this node's messages to a peer to which it maintains no connection of its own.
  */
 final class AcceptedConnection extends ChannelDuplexHandler {
     private static final Logger LOGGER = System.getLogger(AcceptedConnection.class.getName());
@@ -24,8 +24,8 @@
     private final ReturnPaths returnPaths;
     private final LinkMeter meter;
     private final Duration acknowledgementDelay;
-    private boolean acknowledgementDue;
-    private boolean answered;
+    private boolean acknowledgementScheduled;
+    private boolean writtenSinceLastRead;
 
     AcceptedConnection(MessageReader reader, ReturnPaths returnPaths, LinkMeter meter, Duration acknowledgementDelay) {
         this.reader = reader;
@@ -46,39 +46,40 @@
 
     @Override
     public void write(ChannelHandlerContext context, Object message, ChannelPromise promise) {
-        answered = true;
+        writtenSinceLastRead = true;
         context.write(message, promise);
     }
 
     private void read(ChannelHandlerContext context, ByteBuf frame) {
-        answered = false;
-        acknowledgeSoon(context);
+        writtenSinceLastRead = false;
+        scheduleAcknowledgement(context);
         if (!frame.isReadable()) {
             return;
         }
         Either<String, Optional<NodeId>> sender = reader.read(frame);
         if (sender.isLeft()) {
-            giveUp(context, sender.getLeft());
+            closeMalformed(context, sender.getLeft());
             return;
         }
         sender.get().ifPresent(peer -> returnPaths.add(peer.vm(), context.channel()));
     }
 
     /**
-     * The other side takes a connection over which nothing comes back for silent. One acknowledgement answers all that
-     * came in the meantime, so that the cost does not grow with the traffic; a message of this node is one too.
+     * Acknowledges after a delay. The peer closes a connection over which it receives nothing in return. One
+     * acknowledgement covers all frames received during the delay, so that the cost does not grow with the traffic; a
+     * message that this node sends counts as an acknowledgement too.
      */
-    private void acknowledgeSoon(ChannelHandlerContext context) {
-        if (acknowledgementDue) {
+    private void scheduleAcknowledgement(ChannelHandlerContext context) {
+        if (acknowledgementScheduled) {
             return;
         }
-        acknowledgementDue = true;
+        acknowledgementScheduled = true;
         context.executor().schedule(() -> acknowledge(context), acknowledgementDelay.toNanos(), TimeUnit.NANOSECONDS);
     }
 
     private void acknowledge(ChannelHandlerContext context) {
-        acknowledgementDue = false;
-        if (!answered) {
+        acknowledgementScheduled = false;
+        if (!writtenSinceLastRead) {
             context.writeAndFlush(Frames.acknowledgement());
         }
     }
@@ -89,10 +90,10 @@
             context.close();
             return;
         }
-        giveUp(context, String.valueOf(cause.getMessage()));
+        closeMalformed(context, String.valueOf(cause.getMessage()));
     }
 
-    private void giveUp(ChannelHandlerContext context, String reason) {
+    private void closeMalformed(ChannelHandlerContext context, String reason) {
         meter.malformed.increment();
         LOGGER.log(
                 Level.WARNING,
--- a/wagtaillug-link/src/main/java/org/wagtaillug/link/Backoff.java
+++ b/wagtaillug-link/src/main/java/org/wagtaillug/link/Backoff.java
@@ -2,27 +2,27 @@
 
 import java.time.Duration;
 
-/** How long to wait before the next try to connect: doubles with each failure up to a limit. */
+/** Exponential backoff between connection attempts: the delay doubles with each failure up to a maximum. */
 final class Backoff {
-    private static final Duration FIRST = Duration.ofMillis(100);
+    private static final Duration INITIAL_DELAY = Duration.ofMillis(100);
 
     /**
-     * A peer that starts anew is away for about a second and a half; a node that waits two seconds between dials would be
-     * without it for longer than its start takes. A dial costs one packet.
+     * A peer that restarts is unreachable for about 1.5 s. With 2 s between attempts a node would stay disconnected
+     * for longer than the restart takes. An attempt costs one packet.
      */
-    private static final Duration LONGEST = Duration.ofMillis(300);
+    private static final Duration MAX_DELAY = Duration.ofMillis(300);
 
-    private Duration next = FIRST;
+    private Duration delay = INITIAL_DELAY;
 
-    /** The wait before the next try; the one after it is twice as long. */
-    Duration take() {
-        Duration wait = next;
-        Duration doubled = next.multipliedBy(2);
-        next = doubled.compareTo(LONGEST) < 0 ? doubled : LONGEST;
-        return wait;
+    /** Returns the delay before the next attempt and doubles the one after it, up to the maximum. */
+    Duration nextDelay() {
+        Duration current = delay;
+        Duration doubled = delay.multipliedBy(2);
+        delay = doubled.compareTo(MAX_DELAY) < 0 ? doubled : MAX_DELAY;
+        return current;
     }
 
     void reset() {
-        next = FIRST;
+        delay = INITIAL_DELAY;
     }
 }
--- a/wagtaillug-link/src/main/java/org/wagtaillug/link/DialledConnection.java
+++ b/wagtaillug-link/src/main/java/org/wagtaillug/link/DialledConnection.java
@@ -15,11 +15,11 @@
 import org.wagtaillug.id.VmId;
 
 /**
- * The sending end of a connection to a peer.
+ * The dialling end of a connection to a peer.
  *
- * <p>Something between the two ends may lose track of a connection: the socket stays open, nothing gets through any
- * more, and no error ever comes, while new connections work. It shows as messages that are never acknowledged. Closing
- * the connection then is safe, since messages between nodes may be lost anyway, and the new one works.
+ * <p>A network device between the two ends may lose the state of a connection: the socket stays open, no data gets
+ * through and no error is reported, while new connections work. The sign of it is that messages are not acknowledged.
+ * The connection is then closed and replaced, which is safe because messages between nodes may be lost anyway.
  */
 final class DialledConnection extends ChannelDuplexHandler {
     private static final Logger LOGGER = System.getLogger(DialledConnection.class.getName());
@@ -27,52 +27,56 @@
     private final VmId peer;
     private final LinkMeter meter;
     private final Backoff backoff;
-    private final Silence silence;
+    private final AcknowledgementTimer acknowledgementTimer;
     private final MessageReader reader;
-    private boolean checkScheduled;
+    private boolean timeoutCheckScheduled;
 
-    DialledConnection(VmId peer, MessageReader reader, LinkMeter meter, Backoff backoff, Duration longestSilence) {
+    DialledConnection(
+            VmId peer, MessageReader reader, LinkMeter meter, Backoff backoff, Duration acknowledgementTimeout) {
         this.peer = peer;
         this.reader = reader;
         this.meter = meter;
         this.backoff = backoff;
-        this.silence = new Silence(longestSilence);
+        this.acknowledgementTimer = new AcknowledgementTimer(acknowledgementTimeout);
     }
 
     @Override
     public void write(ChannelHandlerContext context, Object message, ChannelPromise promise) {
-        silence.written(System.nanoTime());
-        scheduleCheck(context);
+        acknowledgementTimer.onWrite(System.nanoTime());
+        scheduleTimeoutCheck(context);
         context.write(message, promise);
     }
 
-    /** One check waits at a time, and none while nothing is written: an idle connection wakes nobody. */
-    private void scheduleCheck(ChannelHandlerContext context) {
-        if (checkScheduled) {
+    /**
+     * At most one check is scheduled at a time and none while nothing is written, so idle connections cause no
+     * wake-ups.
+     */
+    private void scheduleTimeoutCheck(ChannelHandlerContext context) {
+        if (timeoutCheckScheduled) {
             return;
         }
-        checkScheduled = true;
-        long left = silence.left(System.nanoTime());
-        context.executor().schedule(() -> check(context), left, TimeUnit.NANOSECONDS);
+        timeoutCheckScheduled = true;
+        long remaining = acknowledgementTimer.remaining(System.nanoTime());
+        context.executor().schedule(() -> checkTimeout(context), remaining, TimeUnit.NANOSECONDS);
     }
 
-    private void check(ChannelHandlerContext context) {
-        checkScheduled = false;
-        if (!context.channel().isActive() || !silence.waiting()) {
+    private void checkTimeout(ChannelHandlerContext context) {
+        timeoutCheckScheduled = false;
+        if (!context.channel().isActive() || !acknowledgementTimer.pending()) {
             return;
         }
-        if (silence.tooLong(System.nanoTime())) {
-            meter.silent.increment();
-            LOGGER.log(Level.INFO, "closed the connection to {0}: it has fallen silent", peer);
+        if (acknowledgementTimer.expired(System.nanoTime())) {
+            meter.timedOut.increment();
+            LOGGER.log(Level.INFO, "closed the connection to {0}: messages were not acknowledged in time", peer);
             context.close();
             return;
         }
-        scheduleCheck(context);
+        scheduleTimeoutCheck(context);
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
-        silence.heard();
+        acknowledgementTimer.onRead();
         backoff.reset();
         Either<String, Optional<NodeId>> read = Either.right(Optional.empty());
         if (message instanceof ByteBuf frame && frame.isReadable()) {
--- a/wagtaillug-link/src/main/java/org/wagtaillug/link/Dialler.java
+++ b/wagtaillug-link/src/main/java/org/wagtaillug/link/Dialler.java
@@ -15,8 +15,8 @@
 import org.wagtaillug.id.VmId;
 
 /**
- * Keeps one connection to one peer: makes it, and makes it anew whenever it ends, until it is closed. Apart from
- * {@link #send}, everything happens on one event loop.
+ * Maintains one connection to one peer: opens it, and reopens it whenever it ends, until the dialler is closed. Apart
+ * from {@link #send}, everything runs on one event loop.
  */
 final class Dialler {
     private final VmId peer;
@@ -26,7 +26,7 @@
     private final MessageReader reader;
     private final LinkObserver observer;
     private final LinkMeter meter;
-    private final Duration longestSilence;
+    private final Duration acknowledgementTimeout;
     private final EventLoop eventLoop;
     private final Backoff backoff = new Backoff();
     private volatile Optional<Channel> connection = Optional.empty();
@@ -40,14 +40,14 @@
             MessageReader reader,
             LinkObserver observer,
             LinkMeter meter,
-            Duration longestSilence) {
+            Duration acknowledgementTimeout) {
         this.peer = peer;
         this.address = address;
         this.security = security;
         this.reader = reader;
         this.observer = observer;
         this.meter = meter;
-        this.longestSilence = longestSilence;
+        this.acknowledgementTimeout = acknowledgementTimeout;
         this.eventLoop = template.config().group().next();
         this.bootstrap = template.clone(eventLoop).handler(new Initializer());
     }
@@ -64,7 +64,7 @@
         eventLoop.execute(this::connect);
     }
 
-    /** Sends bytes if a connection stands and its outbound buffer has room; tells whether it did. */
+    /** Sends bytes if a connection is open and its outbound buffer has room; returns whether they were accepted. */
     boolean send(byte[] bytes) {
         Optional<Channel> current = connection;
         if (current.isEmpty() || !current.get().isWritable()) {
@@ -85,13 +85,13 @@
             return;
         }
         ChannelFuture attempt = bootstrap.connect(address);
-        attempt.addListener(ignored -> connectEnded(attempt));
+        attempt.addListener(ignored -> onConnectCompleted(attempt));
     }
 
-    private void connectEnded(ChannelFuture attempt) {
+    private void onConnectCompleted(ChannelFuture attempt) {
         if (!attempt.isSuccess()) {
             observer.disconnected(peer);
-            connectLater();
+            scheduleConnect();
             return;
         }
         Channel channel = attempt.channel();
@@ -101,22 +101,22 @@
         }
         connection = Optional.of(channel);
         observer.connected(peer);
-        channel.closeFuture().addListener(ignored -> connectionEnded());
+        channel.closeFuture().addListener(ignored -> onConnectionClosed());
     }
 
-    private void connectionEnded() {
+    private void onConnectionClosed() {
         connection = Optional.empty();
         if (!closed) {
             observer.disconnected(peer);
         }
-        connectLater();
+        scheduleConnect();
     }
 
-    private void connectLater() {
+    private void scheduleConnect() {
         if (closed || eventLoop.isShuttingDown()) {
             return;
         }
-        eventLoop.schedule(this::connect, backoff.take().toNanos(), TimeUnit.NANOSECONDS);
+        eventLoop.schedule(this::connect, backoff.nextDelay().toNanos(), TimeUnit.NANOSECONDS);
     }
 
     /** Builds the pipeline of each new connection. */
@@ -126,7 +126,7 @@
             channel.pipeline().addLast(meter);
             security.accept(channel);
             Frames.addTo(channel.pipeline());
-            channel.pipeline().addLast(new DialledConnection(peer, reader, meter, backoff, longestSilence));
+            channel.pipeline().addLast(new DialledConnection(peer, reader, meter, backoff, acknowledgementTimeout));
         }
     }
 }
--- a/wagtaillug-link/src/main/java/org/wagtaillug/link/LinkCounters.java
+++ b/wagtaillug-link/src/main/java/org/wagtaillug/link/LinkCounters.java
@@ -1,17 +1,17 @@
 package org.wagtaillug.link;
 
 /**
- * What has passed over a link since it was opened.
+ * Traffic counters of a link since it was opened.
  *
- * @param bytesIn bytes read from sockets, frame lengths and TLS included
- * @param bytesOut bytes written to sockets, frame lengths and TLS included
- * @param messagesIn messages handed to the handler
- * @param messagesOut messages given to a connection
- * @param dropped messages that were not sent: no connection, a full outbound buffer or too large
- * @param foreign messages that were meant for another VM and were dropped
- * @param malformed connections closed because of something that is no frame or no message
- * @param silent connections closed because nothing came back over them
- * @param connections connections to peers that stand now
+ * @param bytesIn bytes read from sockets, including frame lengths and TLS
+ * @param bytesOut bytes written to sockets, including frame lengths and TLS
+ * @param messagesIn messages passed to the handler
+ * @param messagesOut messages accepted by a connection
+ * @param dropped messages that were not sent: no connection, outbound buffer full or message too large
+ * @param misdirected messages addressed to another VM, which were dropped
+ * @param malformed connections closed because of an invalid frame or message
+ * @param timedOut connections closed because the peer did not acknowledge messages in time
+ * @param connections connections to peers that are open now
  */
 public record LinkCounters(
         long bytesIn,
@@ -19,7 +19,7 @@
         long messagesIn,
         long messagesOut,
         long dropped,
-        long foreign,
+        long misdirected,
         long malformed,
-        long silent,
+        long timedOut,
         int connections) {}
--- a/wagtaillug-link/src/main/java/org/wagtaillug/link/LinkMeter.java
+++ b/wagtaillug-link/src/main/java/org/wagtaillug/link/LinkMeter.java
@@ -7,15 +7,15 @@
 import io.netty.channel.ChannelPromise;
 import java.util.concurrent.atomic.LongAdder;
 
-/** Counts what passes over all connections of one link; stands next to the socket in each pipeline. */
+/** Counts the traffic of all connections of one link; the first handler after the socket in each pipeline. */
 @ChannelHandler.Sharable
 final class LinkMeter extends ChannelDuplexHandler {
     final LongAdder messagesIn = new LongAdder();
     final LongAdder messagesOut = new LongAdder();
     final LongAdder dropped = new LongAdder();
-    final LongAdder foreign = new LongAdder();
+    final LongAdder misdirected = new LongAdder();
     final LongAdder malformed = new LongAdder();
-    final LongAdder silent = new LongAdder();
+    final LongAdder timedOut = new LongAdder();
     private final LongAdder bytesIn = new LongAdder();
     private final LongAdder bytesOut = new LongAdder();
 
@@ -42,9 +42,9 @@
                 messagesIn.sum(),
                 messagesOut.sum(),
                 dropped.sum(),
-                foreign.sum(),
+                misdirected.sum(),
                 malformed.sum(),
-                silent.sum(),
+                timedOut.sum(),
                 connections);
     }
 }
--- a/wagtaillug-link/src/main/java/org/wagtaillug/link/LinkObserver.java
+++ b/wagtaillug-link/src/main/java/org/wagtaillug/link/LinkObserver.java
@@ -2,9 +2,9 @@
 
 import org.wagtaillug.id.VmId;
 
-/** Hears which connections to peers stand. Called on the link's one thread; must not wait for anything. */
+/** Is notified of opened and closed connections to peers. Called on the link's event loop thread; must not block. */
 public interface LinkObserver {
-    /** Hears nothing. */
+    /** Ignores all notifications. */
     LinkObserver NONE = new LinkObserver() {
         @Override
         public void connected(VmId peer) {}
@@ -13,9 +13,9 @@
         public void disconnected(VmId peer) {}
     };
 
-    /** A connection to a peer stands. */
+    /** A connection to a peer was opened. */
     void connected(VmId peer);
 
-    /** The connection to a peer has ended, or cannot be made. */
+    /** The connection to a peer was closed, or an attempt to open it failed. */
     void disconnected(VmId peer);
 }
--- a/wagtaillug-link/src/main/java/org/wagtaillug/link/LinkTls.java
+++ b/wagtaillug-link/src/main/java/org/wagtaillug/link/LinkTls.java
@@ -8,13 +8,13 @@
 import javax.net.ssl.SSLException;
 
 /**
- * Mutual TLS between nodes. Both sides must show a certificate that {@code trusted} vouches for. Names in certificates
- * are not compared with addresses: VMs are replaced at any time and reached by IP number, so what counts is that the
- * firm's own authority has signed.
+ * Mutual TLS between nodes. Both sides must present a certificate that is signed by an authority in {@code trusted}.
+ * Host names are not verified: VMs are replaced at any time and addressed by IP address, so a signature of the firm's
+ * own certificate authority is what authenticates a node.
  *
  * @param key PEM file with the node's private key (PKCS#8, not encrypted)
- * @param certificates PEM file with the node's certificate and those between it and the authority
- * @param trusted PEM file with the certificates of the authorities whose nodes are let in
+ * @param certificates PEM file with the node's certificate chain, including intermediate certificates
+ * @param trusted PEM file with the certificates of the trusted certificate authorities
  */
 public record LinkTls(Path key, Path certificates, Path trusted) {
     SslContext server() throws SSLException {
--- a/wagtaillug-link/src/main/java/org/wagtaillug/link/MessageReader.java
+++ b/wagtaillug-link/src/main/java/org/wagtaillug/link/MessageReader.java
@@ -9,7 +9,7 @@
 import org.wagtaillug.id.NodeId;
 import org.wagtaillug.message.PeerMessage;
 
-/** Reads the messages of peers, whichever side made the connection, and hands them on. */
+/** Decodes the messages of peers, whichever side opened the connection, and passes them to the handler. */
 final class MessageReader {
     private static final Logger LOGGER = System.getLogger(MessageReader.class.getName());
 
@@ -25,27 +25,28 @@
     }
 
     /**
-     * Reads one frame.
+     * Decodes one frame and passes its message to the handler.
      *
-     * @return on the left what is wrong with it; on the right its sender, empty if it is not for this node
+     * @return left: why the frame is invalid; right: its sender, empty if the message is not for this node
      */
     Either<String, Optional<NodeId>> read(ByteBuf frame) {
         byte[] bytes = new byte[frame.readableBytes()];
         frame.readBytes(bytes);
-        return codec.decode(bytes).map(this::handOver);
+        return codec.decode(bytes).map(this::deliver);
     }
 
-    private Optional<NodeId> handOver(PeerMessageCodec.Envelope envelope) {
-        // A replaced VM's address may be ours now: what its peers still say to it must not be acted on here.
+    private Optional<NodeId> deliver(PeerMessageCodec.Envelope envelope) {
+        // This node may have the address of a replaced VM; messages that peers still send to that VM must not be acted
+        // on.
         if (!envelope.receiver().equals(self.vm())) {
-            meter.foreign.increment();
+            meter.misdirected.increment();
             return Optional.empty();
         }
         meter.messagesIn.increment();
         try {
             handler.accept(envelope.sender(), envelope.message());
         } catch (RuntimeException exception) {
-            LOGGER.log(Level.ERROR, "the handler failed on a message of " + envelope.sender(), exception);
+            LOGGER.log(Level.ERROR, "the handler failed on a message from " + envelope.sender(), exception);
         }
         return Optional.of(envelope.sender());
     }
--- a/wagtaillug-link/src/main/java/org/wagtaillug/link/PeerLink.java
+++ b/wagtaillug-link/src/main/java/org/wagtaillug/link/PeerLink.java
@@ -34,8 +34,9 @@
 import org.wagtaillug.message.PeerMessage;
 
 /**
- * Carries messages between this node and the others. A node keeps one connection to each peer that it is told of, and sends
- * over it; to others it answers over the connection that they made. Messages may be lost, never altered.
+ * Transports messages between this node and the others. A node maintains one connection to each configured peer and
+ * sends over it; it replies to other peers over the connections that they opened. Messages may be lost, but are never
+ * altered.
  *
  * <pre>{@code
  * PeerLink link = PeerLink.builder(self).bind("10.0.0.4", 7400).handler(node::received).open().get();
@@ -43,30 +44,30 @@
  * link.send(new VmId("entry-2"), probe);
  * }</pre>
  *
- * <p>All methods may be called from any thread and none of them waits for the network, but for {@link #close()}.
+ * <p>All methods are thread-safe, and none of them except {@link #close()} waits for the network.
  */
 public final class PeerLink implements AutoCloseable {
-    /** After this long without anything coming back, a connection that was written to is closed and made anew. */
-    public static final Duration LONGEST_SILENCE = Duration.ofSeconds(3);
+    /** Time after a write without any data in return, after which the connection is closed and reopened. */
+    public static final Duration DEFAULT_ACKNOWLEDGEMENT_TIMEOUT = Duration.ofSeconds(3);
 
     private static final Logger LOGGER = System.getLogger(PeerLink.class.getName());
-    private static final int LARGEST_OUTBOUND_BUFFER = 1 << 20;
+    private static final int MAX_OUTBOUND_BUFFER_BYTES = 1 << 20;
 
     /**
-     * A round trip between failure domains takes three milliseconds. A machine without power does not answer at all, and the
-     * opening packet is sent again only after a second: a dial that waits for that finds a peer that has started meanwhile
-     * a second later than a new dial does.
+     * A round trip between failure domains takes 3 ms. A machine without power does not respond at all, and TCP
+     * retransmits the SYN packet only after 1 s: an attempt that waits for that reaches a peer that has started in the
+     * meantime up to a second later than a new attempt does.
      */
     private static final int CONNECT_TIMEOUT_MILLIS = 400;
 
-    private static final int ACKNOWLEDGEMENTS_PER_SILENCE = 6;
-    private static final long SHUTDOWN_LIMIT_SECONDS = 5;
+    private static final int ACKNOWLEDGEMENTS_PER_TIMEOUT = 6;
+    private static final long SHUTDOWN_TIMEOUT_SECONDS = 5;
 
     private final NodeId self;
     private final Duration longestSilence;
     private final EventLoopGroup eventLoops;
     private final LinkMeter meter;
-    private final Bootstrap dialling;
+    private final Bootstrap dialBootstrap;
     private final Consumer<SocketChannel> security;
     private final Channel listener;
     private final PeerMessageCodec codec = new PeerMessageCodec();
@@ -85,39 +86,40 @@
         this.reader = new MessageReader(self, builder.handler, meter);
         this.observer = builder.observer;
         this.security = clientSecurity(builder.tls);
-        this.dialling = new Bootstrap()
+        this.dialBootstrap = new Bootstrap()
                 .group(eventLoops)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
                 .option(
                         ChannelOption.WRITE_BUFFER_WATER_MARK,
-                        new WriteBufferWaterMark(LARGEST_OUTBOUND_BUFFER / 2, LARGEST_OUTBOUND_BUFFER));
+                        new WriteBufferWaterMark(MAX_OUTBOUND_BUFFER_BYTES / 2, MAX_OUTBOUND_BUFFER_BYTES));
         this.listener = listen(builder);
     }
 
-    /** Starts a link with TLS off. Address and handler must be set. */
+    /** Returns a builder of a link without TLS. Address and handler must be set. */
     public static Builder builder(NodeId self) {
         return new Builder(self);
     }
 
-    /** This node. */
     public NodeId self() {
         return self;
     }
 
-    /** The port that it listens on. */
+    /** The port that the link listens on. */
     public int port() {
         return ((InetSocketAddress) listener.localAddress()).getPort();
     }
 
-    /** Sets addresses that are known before any roster is: where to ask first. A member of the same VM goes before. */
+    /**
+     * Sets addresses that are known before the roster is. The address of a member of the same VM takes precedence.
+     */
     public synchronized void seeds(Map<VmId, LogRecord.NodeAddress> addresses) {
         seeds = Map.copyOf(addresses);
         reconcile();
     }
 
-    /** Sets where the other nodes listen. Connections to nodes that are no longer named are closed. */
+    /** Sets the peers to maintain connections to. Connections to nodes that are no longer listed are closed. */
     public synchronized void peers(List<LogRecord.StateMember> roster) {
         Map<VmId, LogRecord.NodeAddress> addresses = new HashMap<>();
         for (LogRecord.StateMember member : roster) {
@@ -128,10 +130,10 @@
     }
 
     /**
-     * Sends a message, or drops it when no connection stands, the outbound buffer of the connection holds over 1 MiB or
-     * the message is over 1 MiB.
+     * Sends a message, or drops it if no connection is open, the outbound buffer of the connection holds more than 1
+     * MiB or the message is larger than 1 MiB.
      *
-     * @return whether it was given to a connection; it may still be lost
+     * @return whether a connection accepted the message; it may still be lost
      */
     public boolean send(VmId receiver, PeerMessage message) {
         Dialler dialler = diallers.get(receiver);
@@ -142,18 +144,18 @@
             return false;
         }
         byte[] bytes = codec.encode(new PeerMessageCodec.Envelope(self, receiver, message));
-        if (bytes.length > Frames.LARGEST) {
+        if (bytes.length > Frames.MAX_MESSAGE_BYTES) {
             LOGGER.log(
                     Level.ERROR,
-                    "dropped a message of {0} bytes to {1}; expected at most {2}",
+                    "dropped a message of {0} bytes to {1}: larger than the maximum of {2} bytes",
                     bytes.length,
                     receiver,
-                    Frames.LARGEST);
+                    Frames.MAX_MESSAGE_BYTES);
             meter.dropped.increment();
             return false;
         }
-        boolean taken = dialled ? dialler.send(bytes) : answer(returnPath.get(), bytes);
-        if (!taken) {
+        boolean accepted = dialled ? dialler.send(bytes) : reply(returnPath.get(), bytes);
+        if (!accepted) {
             meter.dropped.increment();
             return false;
         }
@@ -161,7 +163,7 @@
         return true;
     }
 
-    private static boolean answer(Channel channel, byte[] bytes) {
+    private static boolean reply(Channel channel, byte[] bytes) {
         if (!channel.isWritable()) {
             return false;
         }
@@ -169,7 +171,7 @@
         return true;
     }
 
-    /** What has passed so far. */
+    /** The traffic so far. */
     public LinkCounters counters() {
         int connections = 0;
         for (Dialler dialler : diallers.values()) {
@@ -180,7 +182,7 @@
         return meter.counters(connections);
     }
 
-    /** Closes all connections and waits until the threads have ended, 5 s at most. */
+    /** Closes all connections and waits until the event loop has terminated, at most 5 s. */
     @Override
     public void close() {
         synchronized (this) {
@@ -190,8 +192,8 @@
         }
         listener.close();
         eventLoops
-                .shutdownGracefully(0, SHUTDOWN_LIMIT_SECONDS, TimeUnit.SECONDS)
-                .awaitUninterruptibly(SHUTDOWN_LIMIT_SECONDS, TimeUnit.SECONDS);
+                .shutdownGracefully(0, SHUTDOWN_TIMEOUT_SECONDS, TimeUnit.SECONDS)
+                .awaitUninterruptibly(SHUTDOWN_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     private void reconcile() {
@@ -204,20 +206,20 @@
             }
         }
         for (Map.Entry<VmId, LogRecord.NodeAddress> entry : wanted.entrySet()) {
-            keep(entry.getKey(), entry.getValue());
+            ensureConnected(entry.getKey(), entry.getValue());
         }
     }
 
-    private void keep(VmId peer, LogRecord.NodeAddress address) {
+    private void ensureConnected(VmId peer, LogRecord.NodeAddress address) {
         InetSocketAddress target = new InetSocketAddress(address.host(), address.port());
-        Dialler present = diallers.get(peer);
-        if (present != null && present.address().equals(target)) {
+        Dialler existing = diallers.get(peer);
+        if (existing != null && existing.address().equals(target)) {
             return;
         }
-        Dialler dialler = new Dialler(peer, target, dialling, security, reader, observer, meter, longestSilence);
+        Dialler dialler = new Dialler(peer, target, dialBootstrap, security, reader, observer, meter, longestSilence);
         diallers.put(peer, dialler);
-        if (present != null) {
-            present.close();
+        if (existing != null) {
+            existing.close();
         }
         dialler.start();
     }
@@ -240,7 +242,7 @@
 
     private Channel listen(Builder builder) throws Exception {
         Consumer<SocketChannel> serverSecurity = serverSecurity(builder.tls);
-        Duration acknowledgementDelay = longestSilence.dividedBy(ACKNOWLEDGEMENTS_PER_SILENCE);
+        Duration acknowledgementDelay = longestSilence.dividedBy(ACKNOWLEDGEMENTS_PER_TIMEOUT);
         ChannelInitializer<SocketChannel> initializer = new ChannelInitializer<>() {
             @Override
             protected void initChannel(SocketChannel channel) {
@@ -258,28 +260,28 @@
                 .childOption(ChannelOption.SO_KEEPALIVE, true)
                 .childOption(
                         ChannelOption.WRITE_BUFFER_WATER_MARK,
-                        new WriteBufferWaterMark(LARGEST_OUTBOUND_BUFFER / 2, LARGEST_OUTBOUND_BUFFER))
+                        new WriteBufferWaterMark(MAX_OUTBOUND_BUFFER_BYTES / 2, MAX_OUTBOUND_BUFFER_BYTES))
                 .childHandler(initializer)
                 .bind(builder.host, builder.port)
                 .sync()
                 .channel();
     }
 
-    /** Collects the parts of a {@link PeerLink}. */
+    /** Builder of {@link PeerLink}. */
     public static final class Builder {
         private final NodeId self;
         private String host;
         private int port;
         private BiConsumer<NodeId, PeerMessage> handler;
         private Optional<LinkTls> tls = Optional.empty();
-        private Duration longestSilence = LONGEST_SILENCE;
+        private Duration longestSilence = DEFAULT_ACKNOWLEDGEMENT_TIMEOUT;
         private LinkObserver observer = LinkObserver.NONE;
 
         private Builder(NodeId self) {
             this.self = self;
         }
 
-        /** Sets where to listen; port 0 takes any free one. */
+        /** Sets the address to listen on; port 0 selects any free port. */
         public Builder bind(String listenHost, int listenPort) {
             this.host = listenHost;
             this.port = listenPort;
@@ -287,36 +289,39 @@
         }
 
         /**
-         * Sets who gets the messages, with their senders. It is called on the link's one thread and must not wait for
-         * anything.
+         * Sets the handler of received messages, called with sender and message. It runs on the link's event loop
+         * thread and must not block.
          */
         public Builder handler(BiConsumer<NodeId, PeerMessage> receiver) {
             this.handler = receiver;
             return this;
         }
 
-        /** Sets who hears which connections stand. */
+        /** Sets the observer of opened and closed connections. */
         public Builder observer(LinkObserver listener) {
             this.observer = listener;
             return this;
         }
 
-        /** Sets mutual TLS. All nodes must have it, or none. */
+        /** Enables mutual TLS. Either all nodes must enable it or none. */
         public Builder tls(LinkTls files) {
             this.tls = Optional.of(files);
             return this;
         }
 
-        /** Sets the longest silence, {@link PeerLink#LONGEST_SILENCE} by default. All nodes must have the same one. */
+        /**
+         * Sets the acknowledgement timeout, by default {@link PeerLink#DEFAULT_ACKNOWLEDGEMENT_TIMEOUT}. It must be
+         * the same on all nodes.
+         */
         public Builder longestSilence(Duration limit) {
             this.longestSilence = limit;
             return this;
         }
 
-        /** Opens the link; fails when the address cannot be had or a TLS file cannot be read. */
+        /** Opens the link; fails if the address cannot be bound or a TLS file cannot be read. */
         public Try<PeerLink> open() {
             if (host == null || handler == null) {
-                return Try.failure(new IllegalArgumentException("a link needs an address to listen on and a handler"));
+                return Try.failure(new IllegalArgumentException("address and handler must be set"));
             }
             EventLoopGroup eventLoops = new MultiThreadIoEventLoopGroup(
                     1, new DefaultThreadFactory("peer-link", true), NioIoHandler.newFactory());
--- a/wagtaillug-link/src/main/java/org/wagtaillug/link/ReturnPaths.java
+++ b/wagtaillug-link/src/main/java/org/wagtaillug/link/ReturnPaths.java
@@ -6,14 +6,16 @@
 import java.util.concurrent.ConcurrentHashMap;
 import org.wagtaillug.id.VmId;
 
-/** Connections that peers made: this node answers over them to peers that it keeps no connection to. */
+/**
+ * Connections opened by peers, over which this node replies to peers to which it maintains no connection of its own.
+ */
 final class ReturnPaths {
     private final Map<VmId, Channel> channels = new ConcurrentHashMap<>();
 
-    /** A peer has sent something over a connection. */
+    /** Registers the connection over which a peer has sent a message. */
     void add(VmId peer, Channel channel) {
-        Channel before = channels.put(peer, channel);
-        if (before != channel) {
+        Channel previous = channels.put(peer, channel);
+        if (previous != channel) {
             channel.closeFuture().addListener(ignored -> channels.remove(peer, channel));
         }
     }
--- a/wagtaillug-link/src/main/java/org/wagtaillug/link/package-info.java
+++ b/wagtaillug-link/src/main/java/org/wagtaillug/link/package-info.java
@@ -1,5 +1,5 @@
 /**
- * How nodes reach one another and how records look on the log service: protobuf messages, carried over Netty. Which
- * messages are sent, and what they mean, is decided elsewhere.
+ * The transport between nodes and the encoding of log records: protobuf messages, sent over Netty. Which messages are
+ * sent, and what they mean, is decided elsewhere.
  */
 package org.wagtaillug.link;
--- a/wagtaillug-link/src/test/java/org/wagtaillug/link/PeerLinkTest.java
+++ b/wagtaillug-link/src/test/java/org/wagtaillug/link/PeerLinkTest.java
@@ -32,16 +32,16 @@
 class PeerLinkTest {
     private static final NodeId LEFT = new NodeId(new VmId("entry-1"), 1);
     private static final NodeId RIGHT = new NodeId(new VmId("entry-2"), 1);
-    private static final int LONGEST_WAIT_MILLIS = 30_000;
+    private static final int MAX_WAIT_MILLIS = 30_000;
     private static final String HOST = "127.0.0.1";
 
-    private final Deque<AutoCloseable> opened = new ArrayDeque<>();
+    private final Deque<AutoCloseable> resources = new ArrayDeque<>();
     private final BlockingQueue<String> received = new LinkedBlockingQueue<>();
 
     @AfterEach
     void closeAll() throws Exception {
-        while (!opened.isEmpty()) {
-            opened.pop().close();
+        while (!resources.isEmpty()) {
+            resources.pop().close();
         }
     }
 
@@ -52,19 +52,19 @@
         left.peers(List.of(member(RIGHT, right.port())));
         right.seeds(Map.of(LEFT.vm(), address(left.port())));
 
-        sendAsSoonAsPossible(left, RIGHT.vm(), probe(1));
-        assertThat(next()).isEqualTo("entry-2#1 got 1 of entry-1#1");
-        sendAsSoonAsPossible(right, LEFT.vm(), probe(2));
-        assertThat(next()).isEqualTo("entry-1#1 got 2 of entry-2#1");
+        sendWhenConnected(left, RIGHT.vm(), probe(1));
+        assertThat(nextReceived()).isEqualTo("entry-2#1 got 1 of entry-1#1");
+        sendWhenConnected(right, LEFT.vm(), probe(2));
+        assertThat(nextReceived()).isEqualTo("entry-1#1 got 2 of entry-2#1");
         assertThat(left.counters().messagesOut()).isEqualTo(1);
         assertThat(left.counters().messagesIn()).isEqualTo(1);
         assertThat(left.counters().bytesOut()).isPositive();
         assertThat(right.counters().connections()).isEqualTo(1);
     }
 
-    /** Guards against nodes that many others depend on and that would have to keep a connection to each of them. */
+    /** A node that many others connect to must not need a connection of its own to each of them. */
     @Test
-    void answersOverTheConnectionThatThePeerMade() throws Exception {
+    void repliesOverTheConnectionThatThePeerOpened() throws Exception {
         BlockingQueue<String> states = new LinkedBlockingQueue<>();
         PeerLink left = open(PeerLink.builder(LEFT).bind(HOST, 0).observer(new LinkObserver() {
             @Override
@@ -79,18 +79,18 @@
         }));
         PeerLink right = open(PeerLink.builder(RIGHT).bind(HOST, 0));
         left.peers(List.of(member(RIGHT, right.port())));
-        sendAsSoonAsPossible(left, RIGHT.vm(), probe(1));
-        assertThat(next()).isEqualTo("entry-2#1 got 1 of entry-1#1");
-        sendAsSoonAsPossible(right, LEFT.vm(), probe(2));
-        assertThat(next()).isEqualTo("entry-1#1 got 2 of entry-2#1");
+        sendWhenConnected(left, RIGHT.vm(), probe(1));
+        assertThat(nextReceived()).isEqualTo("entry-2#1 got 1 of entry-1#1");
+        sendWhenConnected(right, LEFT.vm(), probe(2));
+        assertThat(nextReceived()).isEqualTo("entry-1#1 got 2 of entry-2#1");
         assertThat(right.counters().connections()).isZero();
         right.close();
-        assertThat(states.poll(LONGEST_WAIT_MILLIS, TimeUnit.MILLISECONDS)).isEqualTo("connected entry-2");
-        assertThat(states.poll(LONGEST_WAIT_MILLIS, TimeUnit.MILLISECONDS)).isEqualTo("disconnected entry-2");
+        assertThat(states.poll(MAX_WAIT_MILLIS, TimeUnit.MILLISECONDS)).isEqualTo("connected entry-2");
+        assertThat(states.poll(MAX_WAIT_MILLIS, TimeUnit.MILLISECONDS)).isEqualTo("disconnected entry-2");
     }
 
     @Test
-    void dropsAndCountsWhatIsForAPeerThatItDoesNotKnow() {
+    void dropsAndCountsMessagesToUnknownPeers() {
         PeerLink left = open(PeerLink.builder(LEFT).bind(HOST, 0));
 
         assertThat(left.send(RIGHT.vm(), probe(1))).isFalse();
@@ -98,11 +98,11 @@
     }
 
     @Test
-    void closesTheConnectionToANodeThatIsNoLongerNamed() {
+    void closesTheConnectionToANodeThatIsNoLongerListed() {
         PeerLink left = open(PeerLink.builder(LEFT).bind(HOST, 0));
         PeerLink right = open(PeerLink.builder(RIGHT).bind(HOST, 0));
         left.peers(List.of(member(RIGHT, right.port())));
-        sendAsSoonAsPossible(left, RIGHT.vm(), probe(1));
+        sendWhenConnected(left, RIGHT.vm(), probe(1));
 
         left.peers(List.of());
 
@@ -111,106 +111,109 @@
     }
 
     /**
-     * A node acts on grants that were meant for the VM that had its address before. The platform gave a replaced VM's
-     * address to a new one, and a peer with an old roster still sends there.
+     * Guards against a node acting on grants that are meant for another VM: the platform gives the address of a
+     * replaced VM to a new one, and a peer with an outdated roster still sends to it.
      */
     @Test
-    void dropsWhatIsMeantForTheVmThatHadTheAddressBefore() throws Exception {
+    void dropsMessagesForAnotherVm() throws Exception {
         PeerLink left = open(PeerLink.builder(LEFT).bind(HOST, 0));
         PeerLink right = open(PeerLink.builder(RIGHT).bind(HOST, 0));
         VmId replaced = new VmId("entry-0");
         left.seeds(Map.of(replaced, address(right.port()), RIGHT.vm(), address(right.port())));
 
-        sendAsSoonAsPossible(left, replaced, probe(1));
-        await(() -> right.counters().foreign() == 1);
-        sendAsSoonAsPossible(left, RIGHT.vm(), probe(2));
+        sendWhenConnected(left, replaced, probe(1));
+        await(() -> right.counters().misdirected() == 1);
+        sendWhenConnected(left, RIGHT.vm(), probe(2));
 
-        assertThat(next()).isEqualTo("entry-2#1 got 2 of entry-1#1");
+        assertThat(nextReceived()).isEqualTo("entry-2#1 got 2 of entry-1#1");
     }
 
     /**
-     * A port scanner or a faulty program writes nonsense to the nodes' port and the nodes stop hearing one another. Its
-     * bytes must end its own connection only.
+     * Guards against invalid bytes, for example from a port scanner, disturbing the messages between nodes. They must
+     * close only the connection that they came over.
      */
     @Test
     void aMalformedFrameClosesItsOwnConnectionOnly() throws Exception {
         PeerLink left = open(PeerLink.builder(LEFT).bind(HOST, 0));
         PeerLink right = open(PeerLink.builder(RIGHT).bind(HOST, 0));
         left.peers(List.of(member(RIGHT, right.port())));
-        sendAsSoonAsPossible(left, RIGHT.vm(), probe(1));
-        next();
+        sendWhenConnected(left, RIGHT.vm(), probe(1));
+        nextReceived();
 
-        assertThat(answerTo(right.port(), Integer.MAX_VALUE, new byte[0])).isEqualTo(-1);
-        assertThat(answerTo(right.port(), 3, new byte[] {1, 2, 3})).isEqualTo(-1);
+        assertThat(sendFrame(right.port(), Integer.MAX_VALUE, new byte[0])).isEqualTo(-1);
+        assertThat(sendFrame(right.port(), 3, new byte[] {1, 2, 3})).isEqualTo(-1);
 
         assertThat(left.send(RIGHT.vm(), probe(2))).isTrue();
-        assertThat(next()).isEqualTo("entry-2#1 got 2 of entry-1#1");
+        assertThat(nextReceived()).isEqualTo("entry-2#1 got 2 of entry-1#1");
         assertThat(right.counters().malformed()).isEqualTo(2);
     }
 
-    /** A node's VM is replaced at the same address; its peers must find the new one without being told. */
+    /** When a node's VM is replaced at the same address, its peers must reconnect without a new roster. */
     @Test
-    void connectsAnewAfterThePeerHasRestarted() throws Exception {
+    void reconnectsAfterAPeerRestart() throws Exception {
         PeerLink left = open(PeerLink.builder(LEFT).bind(HOST, 0));
-        PeerLink right = openUnregistered(PeerLink.builder(RIGHT).bind(HOST, 0));
+        PeerLink right = openWithoutCleanup(PeerLink.builder(RIGHT).bind(HOST, 0));
         int port = right.port();
         left.peers(List.of(member(RIGHT, port)));
-        sendAsSoonAsPossible(left, RIGHT.vm(), probe(1));
-        next();
+        sendWhenConnected(left, RIGHT.vm(), probe(1));
+        nextReceived();
 
         right.close();
         await(() -> left.counters().connections() == 0);
         open(PeerLink.builder(new NodeId(RIGHT.vm(), 2)).bind(HOST, port));
-        sendAsSoonAsPossible(left, RIGHT.vm(), probe(2));
+        sendWhenConnected(left, RIGHT.vm(), probe(2));
 
-        assertThat(next()).isEqualTo("entry-2#2 got 2 of entry-1#1");
+        assertThat(nextReceived()).isEqualTo("entry-2#2 got 2 of entry-1#1");
     }
 
     /**
-     * Two nodes no longer hear each other though both are well and new connections work. Something between them has
-     * lost track of the open connection: it takes bytes and no error ever comes. Here a socket that is accepted and
-     * never answered stands for it.
+     * Guards against two healthy nodes that cannot communicate because a device between them has lost the state of
+     * their connection: it accepts bytes and reports no error, while new connections work. A socket that is accepted
+     * and never answered simulates it.
      */
     @Test
-    void replacesAConnectionThatHasFallenSilent() throws Exception {
+    void replacesAConnectionWithoutAcknowledgements() throws Exception {
         ServerSocket listener = listen();
         PeerLink left = open(PeerLink.builder(LEFT).bind(HOST, 0).longestSilence(Duration.ofMillis(200)));
         left.seeds(Map.of(RIGHT.vm(), address(listener.getLocalPort())));
         Socket first = listener.accept();
-        opened.push(first);
+        resources.push(first);
 
-        sendAsSoonAsPossible(left, RIGHT.vm(), probe(1));
+        sendWhenConnected(left, RIGHT.vm(), probe(1));
 
-        opened.push(listener.accept());
-        assertThat(left.counters().silent()).isEqualTo(1);
+        resources.push(listener.accept());
+        assertThat(left.counters().timedOut()).isEqualTo(1);
     }
 
-    /** An idle connection must not be taken for a silent one, or a quiet fleet would connect anew all the time. */
+    /**
+     * An idle connection whose messages were acknowledged must not time out, or a fleet with little traffic would
+     * reconnect all the time.
+     */
     @Test
-    void aConnectionThatIsAnsweredIsNotSilent() throws Exception {
+    void keepsAnIdleConnectionAfterAnAcknowledgement() throws Exception {
         PeerLink left = open(PeerLink.builder(LEFT).bind(HOST, 0).longestSilence(Duration.ofMillis(400)));
         PeerLink right = open(PeerLink.builder(RIGHT).bind(HOST, 0).longestSilence(Duration.ofMillis(400)));
         left.peers(List.of(member(RIGHT, right.port())));
-        sendAsSoonAsPossible(left, RIGHT.vm(), probe(1));
+        sendWhenConnected(left, RIGHT.vm(), probe(1));
         await(() -> left.counters().bytesIn() > 0);
 
-        assertThat(left.counters().silent()).isZero();
+        assertThat(left.counters().timedOut()).isZero();
     }
 
     @Test
-    void dropsAMessageThatIsTooLargeForAFrame() {
+    void dropsAMessageLargerThanTheMaximum() {
         PeerLink left = open(PeerLink.builder(LEFT).bind(HOST, 0));
         PeerLink right = open(PeerLink.builder(RIGHT).bind(HOST, 0));
         left.peers(List.of(member(RIGHT, right.port())));
-        sendAsSoonAsPossible(left, RIGHT.vm(), probe(1));
+        sendWhenConnected(left, RIGHT.vm(), probe(1));
         LogRecord.StateEntry large =
-                new LogRecord.StateEntry("k", 1, new Body.Unknown("text", "x".repeat(Frames.LARGEST)));
+                new LogRecord.StateEntry("k", 1, new Body.Unknown("text", "x".repeat(Frames.MAX_MESSAGE_BYTES)));
 
         assertThat(left.send(RIGHT.vm(), new PeerMessage.StateReply(1, List.of(large), List.of())))
                 .isFalse();
     }
 
-    /** A peer that reads nothing must not let the messages to it pile up without bound. */
+    /** Messages to a peer that reads nothing must not accumulate without bound. */
     @Test
     void dropsWhenTheOutboundBufferIsFull() throws Exception {
         ServerSocket listener = listen();
@@ -218,8 +221,8 @@
         left.seeds(Map.of(RIGHT.vm(), address(listener.getLocalPort())));
         LogRecord.StateEntry entry = new LogRecord.StateEntry("k", 1, new Body.Unknown("text", "x".repeat(500_000)));
         PeerMessage large = new PeerMessage.StateReply(1, List.of(entry), List.of());
-        sendAsSoonAsPossible(left, RIGHT.vm(), large);
-        opened.push(listener.accept());
+        sendWhenConnected(left, RIGHT.vm(), large);
+        resources.push(listener.accept());
 
         await(() -> !left.send(RIGHT.vm(), large));
 
@@ -233,25 +236,25 @@
         PeerLink right = open(PeerLink.builder(RIGHT).bind(HOST, 0).tls(tls));
         left.peers(List.of(member(RIGHT, right.port())));
 
-        sendAsSoonAsPossible(left, RIGHT.vm(), probe(1));
+        sendWhenConnected(left, RIGHT.vm(), probe(1));
 
-        assertThat(next()).isEqualTo("entry-2#1 got 1 of entry-1#1");
+        assertThat(nextReceived()).isEqualTo("entry-2#1 got 1 of entry-1#1");
     }
 
-    /** A stranger on the network must not be able to speak as a node where TLS is set. */
+    /** With TLS enabled, a client without a trusted certificate must not be able to act as a node. */
     @Test
     void refusesAPeerWithoutACertificateOfTheAuthority() throws Exception {
         LinkTls tls = new LinkTls(resource("node-key.pem"), resource("node.pem"), resource("authority.pem"));
-        LinkTls foreign =
+        LinkTls untrustedTls =
                 new LinkTls(resource("stranger-key.pem"), resource("stranger.pem"), resource("authority.pem"));
         PeerLink right = open(PeerLink.builder(RIGHT).bind(HOST, 0).tls(tls));
         PeerLink plain = open(PeerLink.builder(LEFT).bind(HOST, 0));
-        PeerLink stranger = open(PeerLink.builder(LEFT).bind(HOST, 0).tls(foreign));
+        PeerLink untrusted = open(PeerLink.builder(LEFT).bind(HOST, 0).tls(untrustedTls));
         plain.peers(List.of(member(RIGHT, right.port())));
-        stranger.peers(List.of(member(RIGHT, right.port())));
+        untrusted.peers(List.of(member(RIGHT, right.port())));
 
-        sendAsSoonAsPossible(plain, RIGHT.vm(), probe(1));
-        sendAsSoonAsPossible(stranger, RIGHT.vm(), probe(2));
+        sendWhenConnected(plain, RIGHT.vm(), probe(1));
+        sendWhenConnected(untrusted, RIGHT.vm(), probe(2));
 
         await(() -> right.counters().malformed() >= 2);
         assertThat(right.counters().messagesIn()).isZero();
@@ -259,7 +262,7 @@
     }
 
     @Test
-    void saysWhenTheAddressCannotBeHad() {
+    void failsIfTheAddressIsInUse() {
         PeerLink left = open(PeerLink.builder(LEFT).bind(HOST, 0));
 
         Try<PeerLink> second = PeerLink.builder(RIGHT)
@@ -271,19 +274,19 @@
     }
 
     private PeerLink open(PeerLink.Builder builder) {
-        PeerLink link = openUnregistered(builder);
-        opened.push(link);
+        PeerLink link = openWithoutCleanup(builder);
+        resources.push(link);
         return link;
     }
 
     private ServerSocket listen() throws IOException {
         ServerSocket listener = new ServerSocket(0, 50, InetAddress.getByName(HOST));
-        listener.setSoTimeout(LONGEST_WAIT_MILLIS);
-        opened.push(listener);
+        listener.setSoTimeout(MAX_WAIT_MILLIS);
+        resources.push(listener);
         return listener;
     }
 
-    private PeerLink openUnregistered(PeerLink.Builder builder) {
+    private PeerLink openWithoutCleanup(PeerLink.Builder builder) {
         NodeId[] self = new NodeId[1];
         PeerLink link = builder.handler((sender, message) -> {
                     PeerMessage.Probe probe = (PeerMessage.Probe) message;
@@ -295,26 +298,26 @@
         return link;
     }
 
-    private String next() throws InterruptedException {
-        return received.poll(LONGEST_WAIT_MILLIS, TimeUnit.MILLISECONDS);
+    private String nextReceived() throws InterruptedException {
+        return received.poll(MAX_WAIT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private static void sendAsSoonAsPossible(PeerLink link, VmId receiver, PeerMessage message) {
+    private static void sendWhenConnected(PeerLink link, VmId receiver, PeerMessage message) {
         await(() -> link.send(receiver, message));
     }
 
     private static void await(BooleanSupplier condition) {
         while (!condition.getAsBoolean()) {
             assertThat(Thread.currentThread().isInterrupted())
-                    .as("waited in vain")
+                    .as("interrupted while waiting")
                     .isFalse();
             Thread.onSpinWait();
         }
     }
 
-    private static int answerTo(int port, int length, byte[] content) throws IOException {
+    private static int sendFrame(int port, int length, byte[] content) throws IOException {
         try (Socket socket = new Socket(HOST, port)) {
-            socket.setSoTimeout(LONGEST_WAIT_MILLIS);
+            socket.setSoTimeout(MAX_WAIT_MILLIS);
             DataOutputStream output = new DataOutputStream(socket.getOutputStream());
             output.writeInt(length);
             output.write(content);
