--- a/wagtaillug-link/src/main/java/org/wagtaillug/link/PeerMessageCodec.java
+++ b/wagtaillug-link/src/main/java/org/wagtaillug/link/PeerMessageCodec.java
@@ -84,7 +84,7 @@
                     PIECES_WITHDRAWN,
                     RESULTS_RELEASED,
                     ROLLOUT_REPORT -> Either.right(new Envelope(sender, receiver, ServingCodec.decode(message)));
-            case KIND_NOT_SET -> Either.left("unknown kind of message from " + sender);
+            case KIND_NOT_SET -> Either.left("the message of " + sender + " has a kind unknown to this version");
         };
     }
 
