--- a/wagtaillug-settings/src/main/java/org/wagtaillug/settings/ContractMapper.java
+++ b/wagtaillug-settings/src/main/java/org/wagtaillug/settings/ContractMapper.java
@@ -24,15 +24,15 @@
 import org.wagtaillug.id.TemplateId;
 import org.wagtaillug.id.VmId;
 
-/** The form of bodies as trees: reads trees that passed the schema and the rules, and writes any body. */
-final class ContractForm {
+/** Converts JSON trees that passed the schema and {@link ContractRules} to bodies, and any body to a JSON tree. */
+final class ContractMapper {
     static final PoolContract DEFAULT_POOL = PoolContract.unspecified(new PoolId("default"));
 
     private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
     private static final String KIND = "kind";
     private static final double DEFAULT_SHARE = 1.0;
 
-    private ContractForm() {}
+    private ContractMapper() {}
 
     static Body read(JsonNode tree) {
         return switch (tree.path(KIND).asText()) {
@@ -140,10 +140,10 @@
 
     static ObjectNode write(Body body) {
         return switch (body) {
-            case Template template -> written(template);
-            case CustomerContract customer -> written(customer);
-            case PoolContract pool -> written(pool);
-            case PlacementContract placement -> written(placement);
+            case Template template -> toTree(template);
+            case CustomerContract customer -> toTree(customer);
+            case PoolContract pool -> toTree(pool);
+            case PlacementContract placement -> toTree(placement);
             case Body.DomainService service ->
                 kind("domain-service").put("domain", service.domain().value()).put("out", service.out());
             case Body.VmService service ->
@@ -158,7 +158,7 @@
         return NODES.objectNode().put(KIND, name);
     }
 
-    private static ObjectNode written(Template template) {
+    private static ObjectNode toTree(Template template) {
         ObjectNode tree = kind("template");
         tree.put("id", template.id().value());
         tree.put("deadline", DurationText.format(template.deadline()));
@@ -166,12 +166,12 @@
         tree.put("worth", template.worth());
         ArrayNode stages = tree.putArray("stages");
         for (Stage stage : template.stages()) {
-            stages.add(written(stage));
+            stages.add(toTree(stage));
         }
         return tree;
     }
 
-    private static ObjectNode written(Stage stage) {
+    private static ObjectNode toTree(Stage stage) {
         ObjectNode tree = NODES.objectNode();
         tree.put("id", stage.id().value());
         tree.put("pool", stage.pool().value());
@@ -184,24 +184,24 @@
         return tree;
     }
 
-    /** The parameters are written in the order of their templates, so that equal bodies give equal texts. */
-    private static ObjectNode written(CustomerContract customer) {
+    /** Writes the parameters sorted by template, so that equal bodies have equal texts. */
+    private static ObjectNode toTree(CustomerContract customer) {
         ObjectNode tree = kind("customer");
         tree.put("id", customer.id().value());
         tree.put("share", customer.share());
         ObjectNode parameters = tree.putObject("parameters");
         for (Map.Entry<TemplateId, CustomerContract.Parameters> entry :
                 new TreeMap<>(customer.parameters()).entrySet()) {
-            ObjectNode own = parameters.putObject(entry.getKey().value());
+            ObjectNode fields = parameters.putObject(entry.getKey().value());
             CustomerContract.Parameters values = entry.getValue();
-            values.deadline().ifPresent(deadline -> own.put("deadline", DurationText.format(deadline)));
-            values.worth().ifPresent(worth -> own.put("worth", worth));
-            values.idempotent().ifPresent(idempotent -> own.put("idempotent", idempotent));
+            values.deadline().ifPresent(deadline -> fields.put("deadline", DurationText.format(deadline)));
+            values.worth().ifPresent(worth -> fields.put("worth", worth));
+            values.idempotent().ifPresent(idempotent -> fields.put("idempotent", idempotent));
         }
         return tree;
     }
 
-    private static ObjectNode written(PoolContract pool) {
+    private static ObjectNode toTree(PoolContract pool) {
         ObjectNode tree = kind("pool");
         tree.put("id", pool.id().value());
         tree.put("cold_limit", pool.coldLimit());
@@ -212,7 +212,7 @@
         return tree;
     }
 
-    private static ObjectNode written(PlacementContract placement) {
+    private static ObjectNode toTree(PlacementContract placement) {
         ObjectNode tree = kind("placement");
         tree.put("model", placement.model().value());
         tree.put("version", placement.version());
--- a/wagtaillug-settings/src/main/java/org/wagtaillug/settings/ContractRules.java
+++ b/wagtaillug-settings/src/main/java/org/wagtaillug/settings/ContractRules.java
@@ -7,11 +7,11 @@
 import java.util.Set;
 
 /**
- * The rules that a schema cannot say. They pass over values of the wrong type, which the schema tells of, so that a file
- * shows all its problems at once.
+ * Validation rules that a schema cannot express. They ignore values of the wrong type, which the schema check
+ * reports, so that all problems of a file are reported at once.
  */
 final class ContractRules {
-    private static final int FEWEST_OF_PIPELINE = 3;
+    private static final int MIN_PIPELINE_STAGES = 3;
 
     private final Document document;
     private final List<SettingsProblem> problems = new ArrayList<>();
@@ -23,8 +23,8 @@
     static List<SettingsProblem> check(Document document) {
         ContractRules rules = new ContractRules(document);
         switch (document.root().path("kind").asText()) {
-            case "template" -> rules.template(document.root());
-            case "pool" -> rules.pool(document.root());
+            case "template" -> rules.checkTemplate(document.root());
+            case "pool" -> rules.checkPool(document.root());
             default -> {
                 return List.of();
             }
@@ -32,70 +32,72 @@
         return rules.problems;
     }
 
-    private void template(JsonNode template) {
+    private void checkTemplate(JsonNode template) {
         JsonNode stages = template.path("stages");
         boolean idempotent = template.path("idempotent").asBoolean(true);
-        length(stages);
+        checkStageCount(stages);
         Set<String> ids = new HashSet<>();
         for (int index = 0; index < stages.size(); index++) {
             JsonNode stage = stages.path(index);
             String path = DocumentPath.item("stages", index);
             String id = stage.path("id").asText();
             if (!id.isEmpty() && !ids.add(id)) {
-                add(path, "id", Found.quoted(id) + " again", "an id that no other stage of the template has");
+                addProblem(
+                        path, "id", ValueText.quoted(id) + " again", "an id that no other stage of the template has");
             }
-            model(stage, path);
+            checkModel(stage, path);
             if (!idempotent) {
-                singleShot(stage, path);
+                checkSingleAttempt(stage, path);
             }
         }
     }
 
-    private void length(JsonNode stages) {
+    private void checkStageCount(JsonNode stages) {
         if (stages.size() == 1) {
             JsonNode work = stages.path(0).path("work");
             if (!work.asText().equals("call")) {
-                add("stages[0]", "work", Found.of(work), "call, as the template has only one stage");
+                addProblem("stages[0]", "work", ValueText.of(work), "call, as the template has only one stage");
             }
             return;
         }
-        if (stages.size() > 1 && stages.size() < FEWEST_OF_PIPELINE) {
+        if (stages.size() > 1 && stages.size() < MIN_PIPELINE_STAGES) {
             String expected = "one stage (a plain call) or three to six (a pipeline)";
-            problems.add(document.problem("stages", Found.of(stages), expected));
+            problems.add(document.problem("stages", ValueText.of(stages), expected));
         }
     }
 
-    private void model(JsonNode stage, String path) {
+    private void checkModel(JsonNode stage, String path) {
         boolean generates = stage.path("work").asText().equals("generate");
         if (generates && !stage.has("model")) {
-            add(path, "model", "nothing", "the name of a model, as the stage's work is generate");
+            addProblem(path, "model", "nothing", "the name of a model, as the stage's work is generate");
         }
         if (!generates && stage.has("model")) {
-            add(path, "model", Found.of(stage.path("model")), "no model, as the stage's work is not generate");
+            addProblem(
+                    path, "model", ValueText.of(stage.path("model")), "no model, as the stage's work is not generate");
         }
     }
 
-    /** A second attempt of work that must happen once could do it twice, so that none may be asked for. */
-    private void singleShot(JsonNode stage, String path) {
+    /** A second attempt could execute non-idempotent work twice, so retries and hedging are rejected. */
+    private void checkSingleAttempt(JsonNode stage, String path) {
         if (stage.path("attempts").asInt(1) > 1) {
-            add(path, "attempts", Found.of(stage.path("attempts")), "1, as the template is not idempotent");
+            addProblem(path, "attempts", ValueText.of(stage.path("attempts")), "1, as the template is not idempotent");
         }
         if (stage.path("hedge").asBoolean(false)) {
-            add(path, "hedge", "true", "false, as the template is not idempotent");
+            addProblem(path, "hedge", "true", "false, as the template is not idempotent");
         }
     }
 
-    private void pool(JsonNode pool) {
-        int cold = pool.path("cold_limit").asInt(ContractForm.DEFAULT_POOL.coldLimit());
-        int warm = pool.path("warm_limit").asInt(ContractForm.DEFAULT_POOL.warmLimit());
+    private void checkPool(JsonNode pool) {
+        int cold = pool.path("cold_limit").asInt(ContractMapper.DEFAULT_POOL.coldLimit());
+        int warm = pool.path("warm_limit").asInt(ContractMapper.DEFAULT_POOL.warmLimit());
         if (warm < cold) {
             String field = pool.has("warm_limit") ? "warm_limit" : "cold_limit";
-            String found = Found.of(pool.path(field));
+            String found = ValueText.of(pool.path(field));
             problems.add(document.problem(field, found, "a warm_limit of at least the cold_limit"));
         }
     }
 
-    private void add(String path, String field, String found, String expected) {
+    private void addProblem(String path, String field, String found, String expected) {
         problems.add(document.problem(DocumentPath.field(path, field), found, expected));
     }
 }
--- a/wagtaillug-settings/src/main/java/org/wagtaillug/settings/Document.java
+++ b/wagtaillug-settings/src/main/java/org/wagtaillug/settings/Document.java
@@ -5,22 +5,22 @@
 import java.util.Optional;
 
 /**
- * One document of a file, with the line of each of its places.
+ * One document of a file, with the line number of each value.
  *
  * @param file the file's name
  * @param root the whole document
- * @param lines by {@link DocumentPath}, from 1
+ * @param lines line numbers by {@link DocumentPath}, starting at 1
  */
 record Document(String file, JsonNode root, Map<String, Integer> lines) {
-    /** The line of a place, or of the nearest place around it when nothing stands there. */
+    /** Returns the line of a path, or of its nearest ancestor that exists. */
     int line(String path) {
-        String place = path;
-        while (!place.isEmpty()) {
-            Integer line = lines.get(place);
+        String ancestor = path;
+        while (!ancestor.isEmpty()) {
+            Integer line = lines.get(ancestor);
             if (line != null) {
                 return line;
             }
-            place = DocumentPath.parent(place);
+            ancestor = DocumentPath.parent(ancestor);
         }
         return lines.getOrDefault(DocumentPath.ROOT, 1);
     }
--- a/wagtaillug-settings/src/main/java/org/wagtaillug/settings/DocumentPath.java
+++ b/wagtaillug-settings/src/main/java/org/wagtaillug/settings/DocumentPath.java
@@ -2,17 +2,17 @@
 
 import java.util.regex.Pattern;
 
-/** Places within a document as text, for example {@code stages[2].work}. */
+/** Paths of values within a document, for example {@code stages[2].work}. */
 final class DocumentPath {
     static final String ROOT = "";
 
-    private static final Pattern PLAIN = Pattern.compile("[A-Za-z0-9_-]+");
+    private static final Pattern UNQUOTED = Pattern.compile("[A-Za-z0-9_-]+");
 
     private DocumentPath() {}
 
     static String field(String parent, String name) {
-        if (!PLAIN.matcher(name).matches()) {
-            return parent + "[" + Found.quoted(name) + "]";
+        if (!UNQUOTED.matcher(name).matches()) {
+            return parent + "[" + ValueText.quoted(name) + "]";
         }
         return parent.isEmpty() ? name : parent + "." + name;
     }
@@ -21,9 +21,9 @@
         return parent + "[" + index + "]";
     }
 
-    /** The place that holds this one; the document itself for a field of it. */
+    /** Returns the enclosing path; {@link #ROOT} for a top-level field. */
     static String parent(String path) {
-        int cut = Math.max(path.lastIndexOf('.'), path.lastIndexOf('['));
-        return cut < 0 ? ROOT : path.substring(0, cut);
+        int end = Math.max(path.lastIndexOf('.'), path.lastIndexOf('['));
+        return end < 0 ? ROOT : path.substring(0, end);
     }
 }
--- a/wagtaillug-settings/src/main/java/org/wagtaillug/settings/DocumentReader.java
+++ b/wagtaillug-settings/src/main/java/org/wagtaillug/settings/DocumentReader.java
@@ -20,8 +20,8 @@
 import org.yaml.snakeyaml.error.MarkedYAMLException;
 
 /**
- * Reads a text token by token, so that each place gets its line and a key that stands twice is seen, which a reading
- * into a tree or an object would hide.
+ * Parses a text token by token, to record the line of each value and to detect duplicate keys, which parsing into a
+ * tree or an object would hide.
  */
 final class DocumentReader {
     private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
@@ -40,48 +40,48 @@
     }
 
     /**
-     * What a text held.
+     * The result of parsing a text.
      *
-     * @param documents those that could be read, empty ones left out
-     * @param problems of the syntax
+     * @param documents the documents that could be parsed, without empty ones
+     * @param problems syntax problems
      */
-    record Reading(List<Document> documents, List<SettingsProblem> problems) {}
+    record ParseResult(List<Document> documents, List<SettingsProblem> problems) {}
 
-    static Reading yaml(String text, String file) {
-        return new DocumentReader(text, file).read(YAML);
+    static ParseResult yaml(String text, String file) {
+        return new DocumentReader(text, file).parse(YAML);
     }
 
-    static Reading json(String text, String file) {
-        return new DocumentReader(text, file).read(JSON);
+    static ParseResult json(String text, String file) {
+        return new DocumentReader(text, file).parse(JSON);
     }
 
-    private Reading read(JsonFactory factory) {
+    private ParseResult parse(JsonFactory factory) {
         try (JsonParser parser = factory.createParser(text)) {
             while (parser.nextToken() != null) {
                 lines = new HashMap<>();
-                JsonNode root = value(parser, DocumentPath.ROOT);
+                JsonNode root = readValue(parser, DocumentPath.ROOT);
                 if (!root.isNull()) {
                     documents.add(new Document(file, root, lines));
                 }
             }
-        } catch (JsonProcessingException fault) {
-            problems.add(syntaxProblem(fault));
-        } catch (IOException fault) {
-            problems.add(problem(1, DocumentPath.ROOT, "text that cannot be read", "UTF-8 text: " + fault));
+        } catch (JsonProcessingException exception) {
+            problems.add(syntaxProblem(exception));
+        } catch (IOException exception) {
+            problems.add(problem(1, DocumentPath.ROOT, "unreadable text", "UTF-8 text: " + exception));
         }
         if (documents.isEmpty() && problems.isEmpty()) {
             problems.add(problem(1, DocumentPath.ROOT, "an empty text", "a document"));
         }
-        return new Reading(documents, problems);
+        return new ParseResult(documents, problems);
     }
 
-    /** Reads the value at whose first token the parser stands. */
-    private JsonNode value(JsonParser parser, String path) throws IOException {
+    /** Reads the value that begins at the current token of the parser. */
+    private JsonNode readValue(JsonParser parser, String path) throws IOException {
         lines.putIfAbsent(path, line(parser.currentTokenLocation()));
         rejectAlias(parser, path);
         return switch (parser.currentToken()) {
-            case START_OBJECT -> mapping(parser, path);
-            case START_ARRAY -> list(parser, path);
+            case START_OBJECT -> readMapping(parser, path);
+            case START_ARRAY -> readList(parser, path);
             case VALUE_STRING -> NODES.textNode(parser.getText());
             case VALUE_TRUE -> NODES.booleanNode(true);
             case VALUE_FALSE -> NODES.booleanNode(false);
@@ -91,7 +91,9 @@
         };
     }
 
-    /** Aliases would let a short text stand for a huge one, and hide the line of what they repeat. */
+    /**
+     * Aliases would let a short text expand to a huge one, and would hide the lines of the values that they repeat.
+     */
     private void rejectAlias(JsonParser parser, String path) throws IOException {
         if (parser instanceof YAMLParser yaml && yaml.isCurrentAlias()) {
             int line = line(parser.currentTokenLocation());
@@ -99,19 +101,19 @@
         }
     }
 
-    private ObjectNode mapping(JsonParser parser, String path) throws IOException {
+    private ObjectNode readMapping(JsonParser parser, String path) throws IOException {
         ObjectNode mapping = NODES.objectNode();
         while (parser.nextToken() == JsonToken.FIELD_NAME) {
             String name = parser.currentName();
-            String place = DocumentPath.field(path, name);
+            String fieldPath = DocumentPath.field(path, name);
             int line = line(parser.currentTokenLocation());
             if (mapping.has(name)) {
-                String once = "it once, as at line " + lines.get(place);
-                problems.add(problem(line, place, Found.quoted(name) + " again", once));
+                String once = "it once, as at line " + lines.get(fieldPath);
+                problems.add(problem(line, fieldPath, ValueText.quoted(name) + " again", once));
             }
-            lines.putIfAbsent(place, line);
+            lines.putIfAbsent(fieldPath, line);
             parser.nextToken();
-            JsonNode value = value(parser, place);
+            JsonNode value = readValue(parser, fieldPath);
             if (!mapping.has(name)) {
                 mapping.set(name, value);
             }
@@ -119,34 +121,35 @@
         return mapping;
     }
 
-    private ArrayNode list(JsonParser parser, String path) throws IOException {
+    private ArrayNode readList(JsonParser parser, String path) throws IOException {
         ArrayNode list = NODES.arrayNode();
         while (parser.nextToken() != JsonToken.END_ARRAY) {
-            list.add(value(parser, DocumentPath.item(path, list.size())));
+            list.add(readValue(parser, DocumentPath.item(path, list.size())));
         }
         return list;
     }
 
-    private SettingsProblem syntaxProblem(JsonProcessingException fault) {
-        int line = line(fault.getLocation());
-        String reason = fault.getOriginalMessage().lines().findFirst().orElse("");
-        if (fault.getCause() instanceof MarkedYAMLException marked && marked.getProblemMark() != null) {
-            line = marked.getProblemMark().getLine() + 1;
-            reason = reason(marked);
+    private SettingsProblem syntaxProblem(JsonProcessingException exception) {
+        int line = line(exception.getLocation());
+        String reason = exception.getOriginalMessage().lines().findFirst().orElse("");
+        if (exception.getCause() instanceof MarkedYAMLException yamlException
+                && yamlException.getProblemMark() != null) {
+            line = yamlException.getProblemMark().getLine() + 1;
+            reason = reason(yamlException);
         }
         if (indentedWithTab(line)) {
             return problem(line, DocumentPath.ROOT, "a tab in the indentation", "spaces");
         }
-        String found = "text that cannot be read (" + Found.printable(reason) + ")";
+        String found = "invalid syntax (" + ValueText.printable(reason) + ")";
         return problem(line, DocumentPath.ROOT, found, "valid YAML or JSON");
     }
 
-    private static String reason(MarkedYAMLException marked) {
-        if (marked.getContext() == null || marked.getContextMark() == null) {
-            return marked.getProblem();
+    private static String reason(MarkedYAMLException yamlException) {
+        if (yamlException.getContext() == null || yamlException.getContextMark() == null) {
+            return yamlException.getProblem();
         }
-        int begin = marked.getContextMark().getLine() + 1;
-        return marked.getContext() + " from line " + begin + ": " + marked.getProblem();
+        int contextLine = yamlException.getContextMark().getLine() + 1;
+        return yamlException.getContext() + " from line " + contextLine + ": " + yamlException.getProblem();
     }
 
     private boolean indentedWithTab(int line) {
--- a/wagtaillug-settings/src/main/java/org/wagtaillug/settings/DurationText.java
+++ b/wagtaillug-settings/src/main/java/org/wagtaillug/settings/DurationText.java
@@ -5,22 +5,22 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Durations as people write them in settings: a whole number and one of {@code ms}, {@code s}, {@code m}, {@code h}. */
+/** The text form of durations in settings: an integer and a unit, {@code ms}, {@code s}, {@code m} or {@code h}. */
 public final class DurationText {
-    /** The longest duration that settings may name. */
-    public static final Duration LONGEST = Duration.ofDays(30);
+    /** Maximum duration in settings. */
+    public static final Duration MAX_DURATION = Duration.ofDays(30);
 
-    private static final Pattern FORM = Pattern.compile("([0-9]{1,10})(ms|s|m|h)");
+    private static final Pattern FORMAT = Pattern.compile("([0-9]{1,10})(ms|s|m|h)");
 
     private DurationText() {}
 
     /**
-     * Reads a duration, for example {@code 250ms}.
+     * Parses a duration, for example {@code 250ms}.
      *
-     * @return empty if the text has another form or means no time or more than {@link #LONGEST}
+     * @return empty if the text has another form, or the duration is 0 or longer than {@link #MAX_DURATION}
      */
     public static Optional<Duration> parse(String text) {
-        Matcher matcher = FORM.matcher(text);
+        Matcher matcher = FORMAT.matcher(text);
         if (!matcher.matches()) {
             return Optional.empty();
         }
@@ -32,13 +32,13 @@
                     case "m" -> Duration.ofMinutes(count);
                     default -> Duration.ofHours(count);
                 };
-        if (duration.isZero() || duration.compareTo(LONGEST) > 0) {
+        if (duration.isZero() || duration.compareTo(MAX_DURATION) > 0) {
             return Optional.empty();
         }
         return Optional.of(duration);
     }
 
-    /** Writes a duration in the largest unit that divides it; parts of a millisecond are dropped. */
+    /** Formats a duration in the largest unit that divides it; fractions of a millisecond are dropped. */
     public static String format(Duration duration) {
         long millis = duration.toMillis();
         if (millis % Duration.ofHours(1).toMillis() == 0) {
--- a/wagtaillug-settings/src/main/java/org/wagtaillug/settings/NearestName.java
+++ b/wagtaillug-settings/src/main/java/org/wagtaillug/settings/NearestName.java
@@ -3,37 +3,40 @@
 import java.util.Collection;
 import java.util.Optional;
 
-/** Finds the valid name that a wrong one was probably meant to be. */
+/** Finds the valid name that is most similar to an invalid one, for suggestions in error messages. */
 public final class NearestName {
-    private static final int SHARE_OF_LENGTH = 3;
+    private static final int LENGTH_PER_EDIT = 3;
 
     private NearestName() {}
 
     /**
-     * The name with the fewest edits to {@code wrong}, if these are at most a third of its length and at least one is
-     * allowed.
+     * Returns the name with the smallest edit distance to {@code wrong}, if that distance is at most 1 or at most a
+     * third of the length of {@code wrong}.
      *
-     * @param wrong what was found
-     * @param valid the choices
+     * @param wrong the invalid name
+     * @param valid the valid names
      */
     public static Optional<String> of(String wrong, Collection<String> valid) {
-        int fewest = Math.max(1, wrong.length() / SHARE_OF_LENGTH) + 1;
+        int limit = Math.max(1, wrong.length() / LENGTH_PER_EDIT) + 1;
         String nearest = null;
         for (String name : valid) {
-            if (Math.abs(name.length() - wrong.length()) >= fewest) {
+            if (Math.abs(name.length() - wrong.length()) >= limit) {
                 continue;
             }
-            int edits = edits(wrong, name);
-            if (edits < fewest) {
-                fewest = edits;
+            int edits = editDistance(wrong, name);
+            if (edits < limit) {
+                limit = edits;
                 nearest = name;
             }
         }
         return Optional.ofNullable(nearest);
     }
 
-    /** Counts insertions, deletions, replacements and swaps of neighbours, each as one. */
-    private static int edits(String from, String to) {
+    /**
+     * The optimal string alignment distance: counts insertions, deletions, substitutions and transpositions of
+     * neighbours, each as one.
+     */
+    private static int editDistance(String from, String to) {
         int[][] table = new int[from.length() + 1][to.length() + 1];
         for (int row = 0; row <= from.length(); row++) {
             table[row][0] = row;
@@ -43,19 +46,19 @@
         }
         for (int row = 1; row <= from.length(); row++) {
             for (int column = 1; column <= to.length(); column++) {
-                int replaced = from.charAt(row - 1) == to.charAt(column - 1) ? 0 : 1;
-                int best = Math.min(table[row - 1][column] + 1, table[row][column - 1] + 1);
-                best = Math.min(best, table[row - 1][column - 1] + replaced);
-                if (swapped(from, row, to, column)) {
-                    best = Math.min(best, table[row - 2][column - 2] + 1);
+                int substitutionCost = from.charAt(row - 1) == to.charAt(column - 1) ? 0 : 1;
+                int distance = Math.min(table[row - 1][column] + 1, table[row][column - 1] + 1);
+                distance = Math.min(distance, table[row - 1][column - 1] + substitutionCost);
+                if (transposed(from, row, to, column)) {
+                    distance = Math.min(distance, table[row - 2][column - 2] + 1);
                 }
-                table[row][column] = best;
+                table[row][column] = distance;
             }
         }
         return table[from.length()][to.length()];
     }
 
-    private static boolean swapped(String from, int row, String to, int column) {
+    private static boolean transposed(String from, int row, String to, int column) {
         return row > 1
                 && column > 1
                 && from.charAt(row - 1) == to.charAt(column - 2)
--- a/wagtaillug-settings/src/main/java/org/wagtaillug/settings/NodeSettings.java
+++ b/wagtaillug-settings/src/main/java/org/wagtaillug/settings/NodeSettings.java
@@ -16,22 +16,23 @@
 import org.wagtaillug.id.VmId;
 
 /**
- * All that one node is told at its start; docs/SETTINGS.md lists each field.
+ * The settings of one node, read when it starts; docs/SETTINGS.md lists each field.
  *
  * <pre>{@code
  * Either<List<SettingsProblem>, NodeSettings> settings = NodeSettings.load(Path.of("node-1.yaml"));
  * }</pre>
  *
- * @param node who the node is
- * @param callers where it listens for callers
- * @param administration where it listens for operators, and who these are
- * @param link where it listens for other nodes
- * @param platform where the platform's services are
- * @param seeds nodes to ask for a first view of the others, before the log has been read; default none
- * @param policy how the node decides; default {@link Policy#CURRENT}
- * @param limits how much the node bears; see {@link Limits#DEFAULT}
- * @param log where the log goes; see {@link Log#DEFAULT}
- * @param shutdownGrace how long after the word to end the process is killed; default {@link #DEFAULT_SHUTDOWN_GRACE}
+ * @param node the identity of the node
+ * @param callers the listener for callers
+ * @param administration the listener for operators, and their access tokens
+ * @param link the listener for other nodes
+ * @param platform the addresses of the platform's services
+ * @param seeds nodes to ask for a first roster, before the log has been read; default none
+ * @param policy the scheduling policy; default {@link Policy#CURRENT}
+ * @param limits the load limits of the node; see {@link Limits#DEFAULT}
+ * @param log the destination of the log; see {@link Log#DEFAULT}
+ * @param shutdownGrace time between the termination signal and the kill of the process; default
+ *     {@link #DEFAULT_SHUTDOWN_GRACE}
  */
 public record NodeSettings(
         Identity node,
@@ -44,16 +45,16 @@
         Limits limits,
         Log log,
         Duration shutdownGrace) {
-    /** The grace where the settings say nothing. */
+    /** Default of the shutdown grace. */
     public static final Duration DEFAULT_SHUTDOWN_GRACE = Duration.ofSeconds(30);
 
-    /** Takes its own copy of the seeds. */
+    /** Copies the seeds. */
     public NodeSettings {
         seeds = List.copyOf(seeds);
     }
 
     /**
-     * Who a node is.
+     * The identity of a node.
      *
      * @param vm the VM it runs on
      * @param domain its failure domain
@@ -62,44 +63,44 @@
     public record Identity(VmId vm, DomainId domain, RegionId region) {}
 
     /**
-     * Where to listen over HTTP.
+     * An HTTP listener.
      *
-     * @param address an IP number
+     * @param address the IP address to listen on
      * @param port from 1 to 65535
-     * @param tls what to prove with that it is this server; empty for plain text
+     * @param tls the server certificate; empty for plain text
      */
     public record Listener(String address, int port, Optional<Certificate> tls) {}
 
     /**
      * A certificate with its key, both PEM files.
      *
-     * @param certificate the chain, own certificate first
+     * @param certificate the chain, starting with the server's own certificate
      * @param key the private key, PKCS#8
      */
     public record Certificate(Path certificate, Path key) {}
 
     /**
-     * The operators' interface.
+     * The administration interface for operators.
      *
-     * @param listener where it is
-     * @param accesses who may use it, at least one
+     * @param listener where it listens
+     * @param accesses the permitted tokens, at least one
      */
     public record Administration(Listener listener, List<Access> accesses) {
-        /** Takes its own copy of the accesses. */
+        /** Copies the accesses. */
         public Administration {
             accesses = List.copyOf(accesses);
         }
     }
 
     /**
-     * What a token allows.
+     * The permissions of a token.
      *
-     * @param token the secret that a call carries
-     * @param role what it may do
-     * @param operator who it is, for the record of changes
+     * @param token the secret that a request carries
+     * @param role what its holder may do
+     * @param operator its holder, for the record of changes
      */
     public record Access(String token, Role role, OperatorId operator) {
-        /** All but the secret, which must not get into a log. */
+        /** Omits the token, which must not be logged. */
         @Override
         public String toString() {
             return "Access[" + role + ", " + operator + "]";
@@ -115,25 +116,25 @@
     }
 
     /**
-     * Where to listen for other nodes.
+     * The listener for other nodes.
      *
-     * @param address the IP number that other nodes reach, so not that of all interfaces
+     * @param address the IP address at which other nodes reach this one, so not the wildcard address
      * @param port from 1 to 65535
      * @param tls empty for plain text
      */
     public record Link(String address, int port, Optional<LinkTls> tls) {}
 
     /**
-     * How nodes prove to one another who they are; PEM files.
+     * The certificates for mutual TLS between nodes; PEM files.
      *
      * @param certificate this node's chain
      * @param key its private key, PKCS#8
-     * @param trust the certificates by which the other nodes' are checked
+     * @param trust the certificates of the authorities that sign the other nodes' certificates
      */
     public record LinkTls(Path certificate, Path key, Path trust) {}
 
     /**
-     * The platform's services.
+     * The addresses of the platform's services.
      *
      * @param log the base URL of the log service
      * @param vms the base URL of the VM list
@@ -141,7 +142,7 @@
      * @param retention how long the log keeps a record; default 1 h
      */
     public record Platform(String log, String vms, String weights, Duration retention) {
-        /** The retention where the settings say nothing. */
+        /** Default of the retention. */
         public static final Duration DEFAULT_RETENTION = Duration.ofHours(1);
     }
 
@@ -149,58 +150,58 @@
      * Another node.
      *
      * @param vm its VM
-     * @param address an IP number
-     * @param port of its link
+     * @param address its IP address
+     * @param port the port of its link
      * @param domain its failure domain
      */
     public record Seed(VmId vm, String address, int port, DomainId domain) {}
 
-    /** How a node decides. */
+    /** The scheduling policy of a node. */
     public enum Policy {
-        /** With all that the project has. */
+        /** The full policy, with all mechanisms. */
         CURRENT,
-        /** The plain way that the current one is measured against. */
+        /** The baseline that the current policy is compared with. */
         NAIVE
     }
 
     /**
-     * How much a node bears.
+     * The load limits of a node.
      *
-     * @param requestsInFlight the most requests at once, at least 1; default 400
-     * @param bodyBytes the longest body of a request; default 1,048,576
-     * @param retryBudget the most retries as a share of first attempts, 0 to 1; default 0.2
-     * @param hedgeBudget the most hedges as a share of first attempts, 0 to 1; default 0.05
-     * @param senderTimeout the most time that a caller may take to send its request; default 10 s
+     * @param requestsInFlight the maximum number of concurrent requests, at least 1; default 400
+     * @param bodyBytes the maximum size of a request body; default 1,048,576
+     * @param retryBudget the maximum ratio of retries to first attempts, 0 to 1; default 0.2
+     * @param hedgeBudget the maximum ratio of hedges to first attempts, 0 to 1; default 0.05
+     * @param senderTimeout the maximum time that a caller may take to send its request; default 10 s
      */
     public record Limits(
             int requestsInFlight, int bodyBytes, double retryBudget, double hedgeBudget, Duration senderTimeout) {
-        /** The limits where the settings say nothing. */
+        /** The default limits. */
         public static final Limits DEFAULT = new Limits(400, 1_048_576, 0.2, 0.05, Duration.ofSeconds(10));
     }
 
     /**
-     * Where the log goes.
+     * The destination of the log.
      *
-     * @param file the file to append to; empty for the standard output
-     * @param level the least level that is written; default {@code INFO}
+     * @param file the file to append to; empty for standard output
+     * @param level the minimum level that is written; default {@code INFO}
      */
     public record Log(Optional<Path> file, System.Logger.Level level) {
-        /** The log where the settings say nothing. */
+        /** The default destination and level. */
         public static final Log DEFAULT = new Log(Optional.empty(), System.Logger.Level.INFO);
     }
 
     /**
-     * Reads a settings file. Names of other files in it are taken from the folder that it lies in.
+     * Reads a settings file. Names of other files in it are resolved against its directory.
      *
      * @return all problems, or the settings; a file that cannot be read is a problem too
      */
     public static Either<List<SettingsProblem>, NodeSettings> load(Path file) {
         try {
             return parse(Files.readString(file), file.toString());
-        } catch (MalformedInputException fault) {
-            return Either.left(List.of(unreadable(file, "bytes that are no UTF-8", "text in UTF-8")));
-        } catch (IOException fault) {
-            return Either.left(List.of(unreadable(file, "no file that can be read (" + fault + ")", "a file")));
+        } catch (MalformedInputException exception) {
+            return Either.left(List.of(unreadable(file, "bytes that are not valid UTF-8", "text in UTF-8")));
+        } catch (IOException exception) {
+            return Either.left(List.of(unreadable(file, "no readable file (" + exception + ")", "a file")));
         }
     }
 
@@ -208,7 +209,7 @@
      * Reads settings from a text.
      *
      * @param text the content
-     * @param fileName its name, for the problems and for names of other files in it
+     * @param fileName its name, for the problems and for resolving names of other files
      */
     public static Either<List<SettingsProblem>, NodeSettings> parse(String text, String fileName) {
         return NodeSettingsReader.read(text, fileName);
@@ -218,12 +219,12 @@
         return new SettingsProblem(file.toString(), 1, "", found, expected, Optional.empty());
     }
 
-    /** Starts settings with the defaults above; the five places must be set. */
+    /** Returns a builder with the defaults; callers, administration, link and platform must be set. */
     public static Builder builder(Identity node) {
         return new Builder(node);
     }
 
-    /** Collects the parts of {@link NodeSettings}. */
+    /** Builder of {@link NodeSettings}. */
     public static final class Builder {
         private final Identity node;
         private Listener callers;
@@ -240,55 +241,55 @@
             this.node = Objects.requireNonNull(node);
         }
 
-        /** Sets where to listen for callers. */
+        /** Sets the listener for callers. */
         public Builder callers(Listener listener) {
             this.callers = listener;
             return this;
         }
 
-        /** Sets the operators' interface. */
+        /** Sets the administration interface. */
         public Builder administration(Administration value) {
             this.administration = value;
             return this;
         }
 
-        /** Sets where to listen for other nodes. */
+        /** Sets the listener for other nodes. */
         public Builder link(Link value) {
             this.link = value;
             return this;
         }
 
-        /** Sets the platform's services. */
+        /** Sets the addresses of the platform's services. */
         public Builder platform(Platform value) {
             this.platform = value;
             return this;
         }
 
-        /** Adds another node. */
+        /** Adds a node to ask for a first roster. */
         public Builder seed(Seed seed) {
             seeds.add(seed);
             return this;
         }
 
-        /** Sets how the node decides. */
+        /** Sets the scheduling policy. */
         public Builder policy(Policy value) {
             this.policy = Objects.requireNonNull(value);
             return this;
         }
 
-        /** Sets how much the node bears. */
+        /** Sets the load limits. */
         public Builder limits(Limits value) {
             this.limits = Objects.requireNonNull(value);
             return this;
         }
 
-        /** Sets where the log goes. */
+        /** Sets the destination of the log. */
         public Builder log(Log value) {
             this.log = Objects.requireNonNull(value);
             return this;
         }
 
-        /** Sets how long after the word to end the process is killed. */
+        /** Sets the time between the termination signal and the kill of the process. */
         public Builder shutdownGrace(Duration value) {
             this.shutdownGrace = Objects.requireNonNull(value);
             return this;
@@ -297,7 +298,7 @@
         /**
          * Builds the settings.
          *
-         * @throws NullPointerException naming the place that was not set
+         * @throws NullPointerException naming a required part that was not set
          */
         public NodeSettings build() {
             Objects.requireNonNull(callers, "callers");
--- a/wagtaillug-settings/src/main/java/org/wagtaillug/settings/NodeSettingsReader.java
+++ b/wagtaillug-settings/src/main/java/org/wagtaillug/settings/NodeSettingsReader.java
@@ -26,22 +26,22 @@
 import org.wagtaillug.settings.NodeSettings.Role;
 import org.wagtaillug.settings.NodeSettings.Seed;
 
-/** Makes {@link NodeSettings} of a text: syntax, schema, rules, then the typed values. */
+/** Reads {@link NodeSettings} from a text: checks syntax, schema and rules, then converts the values. */
 final class NodeSettingsReader {
     private static final Schema SCHEMA = Schema.of("node.yaml", "node-settings");
 
-    private final Path folder;
+    private final Path directory;
 
-    private NodeSettingsReader(Path folder) {
-        this.folder = folder;
+    private NodeSettingsReader(Path directory) {
+        this.directory = directory;
     }
 
     static Either<List<SettingsProblem>, NodeSettings> read(String text, String fileName) {
-        DocumentReader.Reading reading = DocumentReader.yaml(text, fileName);
-        List<SettingsProblem> problems = new ArrayList<>(reading.problems());
-        List<Document> documents = reading.documents();
+        DocumentReader.ParseResult parsed = DocumentReader.yaml(text, fileName);
+        List<SettingsProblem> problems = new ArrayList<>(parsed.problems());
+        List<Document> documents = parsed.documents();
         if (documents.size() > 1) {
-            String expected = "one document, so no line ---";
+            String expected = "one document, without a line ---";
             problems.add(documents.get(1).problem(DocumentPath.ROOT, "a second document", expected));
         }
         if (!documents.isEmpty()) {
@@ -51,11 +51,11 @@
         if (!problems.isEmpty()) {
             return Either.left(SettingsProblems.sorted(problems));
         }
-        NodeSettingsReader reader = new NodeSettingsReader(folder(fileName));
+        NodeSettingsReader reader = new NodeSettingsReader(directory(fileName));
         return Either.right(reader.settings(documents.getFirst().root()));
     }
 
-    private static Path folder(String fileName) {
+    private static Path directory(String fileName) {
         Path parent = Path.of(fileName).getParent();
         return parent == null ? Path.of("") : parent;
     }
@@ -124,13 +124,13 @@
     }
 
     private static Limits limits(JsonNode tree) {
-        Limits usual = Limits.DEFAULT;
+        Limits defaults = Limits.DEFAULT;
         return new Limits(
-                tree.path("requests_in_flight").asInt(usual.requestsInFlight()),
-                tree.path("body_bytes").asInt(usual.bodyBytes()),
-                tree.path("retry_budget").asDouble(usual.retryBudget()),
-                tree.path("hedge_budget").asDouble(usual.hedgeBudget()),
-                duration(tree, "sender_timeout", usual.senderTimeout()));
+                tree.path("requests_in_flight").asInt(defaults.requestsInFlight()),
+                tree.path("body_bytes").asInt(defaults.bodyBytes()),
+                tree.path("retry_budget").asDouble(defaults.retryBudget()),
+                tree.path("hedge_budget").asDouble(defaults.hedgeBudget()),
+                duration(tree, "sender_timeout", defaults.senderTimeout()));
     }
 
     private Log log(JsonNode tree) {
@@ -143,7 +143,7 @@
     }
 
     private Path file(JsonNode tree, String field) {
-        return folder.resolve(text(tree, field));
+        return directory.resolve(text(tree, field));
     }
 
     private static String url(JsonNode tree, String field) {
@@ -159,9 +159,9 @@
         return text(tree, field).toUpperCase(Locale.ROOT);
     }
 
-    private static Duration duration(JsonNode tree, String field, Duration usual) {
+    private static Duration duration(JsonNode tree, String field, Duration defaultValue) {
         return Optional.ofNullable(tree.path(field).textValue())
                 .flatMap(DurationText::parse)
-                .orElse(usual);
+                .orElse(defaultValue);
     }
 }
--- a/wagtaillug-settings/src/main/java/org/wagtaillug/settings/RoutedSettings.java
+++ b/wagtaillug-settings/src/main/java/org/wagtaillug/settings/RoutedSettings.java
@@ -15,16 +15,16 @@
 /**
  * The settings of a node that routes by host and path. docs/SETTINGS.md lists the fields.
  *
- * @param node who it is
- * @param listen where it listens
+ * @param node its identity
+ * @param listen its listeners
  * @param store the address of the platform's store
- * @param seeds nodes that are likely to be there
- * @param repeats the bound on repeats that holds for all nodes together
- * @param shutdownGrace how long after the word to end the process is killed
- * @param features the ways of deciding that it uses
- * @param capacity its processor, in cores of the slowest kind
- * @param coldBound the bound on requests that a cold upstream gets from all nodes together
- * @param rolloutLimits the bound on requests that a candidate version gets from all nodes together
+ * @param seeds nodes that are likely to be running
+ * @param repeats the limit on retries, for all nodes together
+ * @param shutdownGrace time between the termination signal and the kill of the process
+ * @param features the policy features in use
+ * @param capacity the capacity of its processor, in cores of the slowest kind
+ * @param coldBound the limit on requests to a cold upstream, from all nodes together
+ * @param rolloutLimits the limit on requests to a candidate version, from all nodes together
  */
 public record RoutedSettings(
         Identity node,
@@ -37,40 +37,40 @@
         double capacity,
         ColdBound coldBound,
         RolloutLimits rolloutLimits) {
-    /** Copies the list. */
+    /** Copies the seeds. */
     public RoutedSettings {
         seeds = List.copyOf(seeds);
     }
 
     /**
-     * Who a node is.
+     * The identity of a node.
      *
-     * @param vm its IP number, by which the other nodes know it
-     * @param name what people call it
+     * @param vm its IP address, by which the other nodes identify it
+     * @param name its display name
      * @param domain its failure domain
      */
     public record Identity(VmId vm, String name, DomainId domain) {}
 
     /**
-     * Where a node listens.
+     * The listeners of a node.
      *
      * @param callers for requests
-     * @param readiness for the balancer's question
+     * @param readiness for the balancer's readiness checks
      * @param administration for metrics
      * @param link for the other nodes
      */
     public record Listen(Address callers, Address readiness, Address administration, Address link) {}
 
     /**
-     * An IP number and a port.
+     * An IP address and a port.
      *
-     * @param host the number
+     * @param host the IP address
      * @param port 1 to 65535
      */
     public record Address(String host, int port) {
-        private static final int HIGHEST_PORT = 65_535;
+        private static final int MAX_PORT = 65_535;
 
-        /** Reads {@code 10.1.0.41:8625}; empty if the text has another form. */
+        /** Parses, for example, {@code 10.1.0.41:8625}; empty if the text has another form. */
         public static Optional<Address> parse(String text) {
             int colon = text.lastIndexOf(':');
             if (colon <= 0) {
@@ -78,9 +78,9 @@
             }
             try {
                 int port = Integer.parseInt(text.substring(colon + 1));
-                boolean valid = port >= 1 && port <= HIGHEST_PORT;
+                boolean valid = port >= 1 && port <= MAX_PORT;
                 return valid ? Optional.of(new Address(text.substring(0, colon), port)) : Optional.empty();
-            } catch (NumberFormatException notNumber) {
+            } catch (NumberFormatException exception) {
                 return Optional.empty();
             }
         }
@@ -92,31 +92,31 @@
     }
 
     /**
-     * How often requests may be sent again, by all nodes together.
+     * The limit on retries by all nodes together.
      *
-     * @param window any span of this length counts
-     * @param ratio repeats per request
-     * @param fixed repeats beyond that
+     * @param window the length of the sliding window in which retries and requests are counted
+     * @param ratio permitted retries per request
+     * @param fixed permitted retries in addition to that
      */
     public record Repeats(Duration window, double ratio, double fixed) {}
 
     /**
-     * How many requests a cold upstream may get in a second, from all nodes together.
+     * The limit on requests per second to a cold upstream, from all nodes together.
      *
-     * @param ratio of what its pool says that a cold server bears
-     * @param fixed requests a second beyond that
+     * @param ratio the permitted multiple of the rate that a cold server handles according to its pool
+     * @param fixed permitted requests per second in addition to that
      */
     public record ColdBound(double ratio, double fixed) {
-        /** Holds unless the settings say otherwise. */
+        /** The default limit. */
         public static final ColdBound DEFAULT = new ColdBound(1.5, 5);
     }
 
-    /** Reads a settings file, or says everything that is wrong with it. */
+    /** Reads a settings file; returns either all its problems or the settings. */
     public static Either<List<SettingsProblem>, RoutedSettings> load(Path file) {
         try {
             return RoutedSettingsReader.read(Files.readString(file), file.toString());
-        } catch (IOException fault) {
-            String found = "no file that can be read (" + fault.getMessage() + ")";
+        } catch (IOException exception) {
+            String found = "no readable file (" + exception.getMessage() + ")";
             return Either.left(
                     List.of(new SettingsProblem(file.toString(), 1, "", found, "a settings file", Optional.empty())));
         }
--- a/wagtaillug-settings/src/main/java/org/wagtaillug/settings/RoutedSettingsReader.java
+++ b/wagtaillug-settings/src/main/java/org/wagtaillug/settings/RoutedSettingsReader.java
@@ -17,8 +17,8 @@
 import org.wagtaillug.settings.RoutedSettings.Address;
 
 /**
- * Makes {@link RoutedSettings} of a text. Checks by hand rather than by schema: loading a schema library is a third of the
- * time that such a node takes to start.
+ * Reads {@link RoutedSettings} from a text. Validates in code instead of with a schema: loading the schema library
+ * takes a third of the start-up time of such a node.
  */
 final class RoutedSettingsReader {
     private static final Map<String, List<String>> FIELDS = Map.of(
@@ -52,15 +52,15 @@
     }
 
     static Either<List<SettingsProblem>, RoutedSettings> read(String text, String fileName) {
-        DocumentReader.Reading reading = DocumentReader.yaml(text, fileName);
-        List<SettingsProblem> problems = new ArrayList<>(reading.problems());
-        if (reading.documents().size() != 1) {
-            String found = reading.documents().size() + " documents";
+        DocumentReader.ParseResult parsed = DocumentReader.yaml(text, fileName);
+        List<SettingsProblem> problems = new ArrayList<>(parsed.problems());
+        if (parsed.documents().size() != 1) {
+            String found = parsed.documents().size() + " documents";
             problems.add(new SettingsProblem(fileName, 1, "", found, "one document", Optional.empty()));
             return Either.left(SettingsProblems.sorted(problems));
         }
         RoutedSettingsReader reader =
-                new RoutedSettingsReader(reading.documents().getFirst(), problems);
+                new RoutedSettingsReader(parsed.documents().getFirst(), problems);
         Optional<RoutedSettings> settings = reader.settings();
         return problems.isEmpty() && settings.isPresent()
                 ? Either.right(settings.get())
@@ -68,8 +68,8 @@
     }
 
     private Optional<RoutedSettings> settings() {
-        FIELDS.forEach(this::onlyKnown);
-        String vm = text("node.vm", "the IP number of this node");
+        FIELDS.forEach(this::rejectUnknownFields);
+        String vm = text("node.vm", "the IP address of this node");
         String name = text("node.name", "a name");
         String domain = text("node.domain", "a failure domain");
         Address callers = address("listen.callers");
@@ -79,19 +79,20 @@
         Address store = address("store");
         List<VmId> seeds = seeds();
         Duration window = duration("repeats.window");
-        double ratio = number("repeats.ratio");
-        double fixed = number("repeats.fixed");
-        Duration grace = duration("shutdown_grace");
+        double ratio = nonNegative("repeats.ratio");
+        double fixed = nonNegative("repeats.fixed");
+        Duration shutdownGrace = duration("shutdown_grace");
         PolicyFeatures features = features();
-        double capacity = at("processor").isMissingNode()
+        double capacity = nodeAt("processor").isMissingNode()
                 ? DEFAULT_CAPACITY
                 : positive("processor.share") * positive("processor.speed");
-        RoutedSettings.ColdBound coldBound = at("cold_upstreams").isMissingNode()
+        RoutedSettings.ColdBound coldBound = nodeAt("cold_upstreams").isMissingNode()
                 ? RoutedSettings.ColdBound.DEFAULT
-                : new RoutedSettings.ColdBound(number("cold_upstreams.ratio"), number("cold_upstreams.fixed"));
-        RolloutLimits rolloutLimits = at("rollouts").isMissingNode()
+                : new RoutedSettings.ColdBound(
+                        nonNegative("cold_upstreams.ratio"), nonNegative("cold_upstreams.fixed"));
+        RolloutLimits rolloutLimits = nodeAt("rollouts").isMissingNode()
                 ? RolloutLimits.DEFAULT
-                : new RolloutLimits(number("rollouts.ratio"), number("rollouts.fixed"));
+                : new RolloutLimits(nonNegative("rollouts.ratio"), nonNegative("rollouts.fixed"));
         if (!problems.isEmpty()) {
             return Optional.empty();
         }
@@ -101,53 +102,53 @@
                 store,
                 seeds,
                 new RoutedSettings.Repeats(window, ratio, fixed),
-                grace,
+                shutdownGrace,
                 features,
                 capacity,
                 coldBound,
                 rolloutLimits));
     }
 
-    /** All features but those that the field names, which may be missing. */
+    /** All features except those listed in the optional field {@code without}. */
     private PolicyFeatures features() {
         Map<String, PolicyFeature> known = new TreeMap<>();
-        for (PolicyFeature mechanism : PolicyFeature.values()) {
-            known.put(mechanism.name().toLowerCase(Locale.ROOT), mechanism);
+        for (PolicyFeature feature : PolicyFeature.values()) {
+            known.put(feature.name().toLowerCase(Locale.ROOT), feature);
         }
-        JsonNode list = at("without");
+        JsonNode list = nodeAt("without");
         if (!list.isArray() && !list.isMissingNode()) {
-            problems.add(document.problem("without", Found.of(list), "a list of mechanisms"));
+            problems.add(document.problem("without", ValueText.of(list), "a list of policy features"));
         }
-        List<PolicyFeature> off = new ArrayList<>();
+        List<PolicyFeature> disabled = new ArrayList<>();
         for (int index = 0; index < list.size(); index++) {
             String name = list.path(index).asText();
             if (!known.containsKey(name)) {
                 problems.add(document.problem(
                         DocumentPath.item("without", index),
-                        Found.of(list.path(index)),
+                        ValueText.of(list.path(index)),
                         "one of " + String.join(", ", known.keySet()),
                         NearestName.of(name, known.keySet())));
                 continue;
             }
-            off.add(known.get(name));
+            disabled.add(known.get(name));
         }
-        return PolicyFeatures.without(off);
+        return PolicyFeatures.without(disabled);
     }
 
-    private void onlyKnown(String path, List<String> known) {
-        at(path).fieldNames().forEachRemaining(field -> {
+    private void rejectUnknownFields(String path, List<String> known) {
+        nodeAt(path).fieldNames().forEachRemaining(field -> {
             if (!known.contains(field)) {
-                String where = path.isEmpty() ? field : DocumentPath.field(path, field);
+                String fieldPath = path.isEmpty() ? field : DocumentPath.field(path, field);
                 problems.add(document.problem(
-                        where,
-                        Found.quoted(field),
+                        fieldPath,
+                        ValueText.quoted(field),
                         "one of " + String.join(", ", known),
                         NearestName.of(field, known)));
             }
         });
     }
 
-    private JsonNode at(String path) {
+    private JsonNode nodeAt(String path) {
         JsonNode node = document.root();
         for (String field : path.split("\\.")) {
             node = field.isEmpty() ? node : node.path(field);
@@ -156,62 +157,62 @@
     }
 
     private String text(String path, String expected) {
-        JsonNode node = at(path);
+        JsonNode node = nodeAt(path);
         if (!node.isTextual() || node.textValue().isBlank()) {
-            problems.add(document.problem(path, Found.of(node), expected));
+            problems.add(document.problem(path, ValueText.of(node), expected));
             return "";
         }
         return node.textValue();
     }
 
     private Address address(String path) {
-        String expected = "an IP number and a port, for example 10.1.0.41:8625";
-        JsonNode node = at(path);
+        String expected = "an IP address and a port, for example 10.1.0.41:8625";
+        JsonNode node = nodeAt(path);
         Optional<Address> address = node.isTextual() ? Address.parse(node.textValue()) : Optional.empty();
         if (address.isEmpty()) {
-            problems.add(document.problem(path, Found.of(node), expected));
+            problems.add(document.problem(path, ValueText.of(node), expected));
         }
         return address.orElse(new Address("", 0));
     }
 
     private List<VmId> seeds() {
         List<VmId> seeds = new ArrayList<>();
-        JsonNode list = at("seeds");
+        JsonNode list = nodeAt("seeds");
         for (int index = 0; index < list.size(); index++) {
             Optional<Address> seed = Address.parse(list.path(index).asText());
             if (seed.isEmpty()) {
                 String path = DocumentPath.item("seeds", index);
                 String expected = "the address of a node's link, for example 10.1.0.41:8628";
-                problems.add(document.problem(path, Found.of(list.path(index)), expected));
+                problems.add(document.problem(path, ValueText.of(list.path(index)), expected));
                 continue;
             }
-            // Nodes are named by their IP number, and all of them listen for one another on the same port.
+            // Nodes are identified by their IP address, and the link port is the same on all of them.
             seeds.add(new VmId(seed.get().host()));
         }
         return seeds;
     }
 
     private Duration duration(String path) {
-        JsonNode node = at(path);
+        JsonNode node = nodeAt(path);
         Optional<Duration> duration = Optional.ofNullable(node.textValue()).flatMap(DurationText::parse);
         if (duration.isEmpty()) {
-            problems.add(document.problem(path, Found.of(node), "a duration, for example 10s"));
+            problems.add(document.problem(path, ValueText.of(node), "a duration, for example 10s"));
         }
         return duration.orElse(Duration.ZERO);
     }
 
-    private double number(String path) {
-        JsonNode node = at(path);
+    private double nonNegative(String path) {
+        JsonNode node = nodeAt(path);
         if (!node.isNumber() || node.asDouble() < 0) {
-            problems.add(document.problem(path, Found.of(node), "a number that is not below 0"));
+            problems.add(document.problem(path, ValueText.of(node), "a number of at least 0"));
         }
         return node.asDouble();
     }
 
     private double positive(String path) {
-        JsonNode node = at(path);
+        JsonNode node = nodeAt(path);
         if (!node.isNumber() || node.asDouble() <= 0) {
-            problems.add(document.problem(path, Found.of(node), "a number above 0"));
+            problems.add(document.problem(path, ValueText.of(node), "a number above 0"));
         }
         return node.asDouble();
     }
--- a/wagtaillug-settings/src/main/java/org/wagtaillug/settings/Schema.java
+++ b/wagtaillug-settings/src/main/java/org/wagtaillug/settings/Schema.java
@@ -20,18 +20,18 @@
 import java.util.List;
 import java.util.Optional;
 
-/** One schema from the resources; turns what the validator says into {@link SettingsProblem}s. */
+/** A JSON schema from the resources; converts validation messages to {@link SettingsProblem}s. */
 final class Schema {
     private static final ObjectMapper YAML = new ObjectMapper(new YAMLFactory());
     private static final JsonSchemaFactory FACTORY = factory();
     private static final SchemaValidatorsConfig CONFIG =
             SchemaValidatorsConfig.builder().formatAssertionsEnabled(true).build();
-    private static final String SECRET = "token";
+    private static final String SECRET_FIELD = "token";
 
     private final JsonNode tree;
     private final JsonSchema validator;
 
-    /** The format of durations, which a pattern cannot bound. */
+    /** The format of durations, whose range a pattern cannot express. */
     private static final class DurationFormat implements Format {
         @Override
         public String getName() {
@@ -50,24 +50,24 @@
     }
 
     private static JsonSchemaFactory factory() {
-        JsonMetaSchema meta = JsonMetaSchema.builder(JsonMetaSchema.getV202012())
+        JsonMetaSchema dialect = JsonMetaSchema.builder(JsonMetaSchema.getV202012())
                 .format(new DurationFormat())
                 .build();
-        return JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012, builder -> builder.metaSchema(meta));
+        return JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012, builder -> builder.metaSchema(dialect));
     }
 
-    /** The schema of one definition in a resource file. */
+    /** Loads the schema of one definition in a resource file. */
     static Schema of(String resource, String definition) {
         try (InputStream stream = Schema.class.getResourceAsStream(resource)) {
             ObjectNode tree = (ObjectNode) YAML.readTree(stream);
             tree.put("$ref", "#/$defs/" + definition);
             return new Schema(tree);
-        } catch (IOException fault) {
-            throw new UncheckedIOException("the schema " + resource + " is damaged", fault);
+        } catch (IOException exception) {
+            throw new UncheckedIOException("the schema " + resource + " cannot be read", exception);
         }
     }
 
-    /** All problems of a document; more than one for the same place where a value breaks more than one rule. */
+    /** Returns all problems of a document; several for the same path if a value violates several rules. */
     List<SettingsProblem> check(Document document) {
         List<SettingsProblem> problems = new ArrayList<>();
         for (ValidationMessage message : validator.validate(document.root())) {
@@ -84,28 +84,29 @@
         return switch (message.getType()) {
             case "additionalProperties" -> unknownField(document, path, property, schema);
             case "required" -> {
-                String place = DocumentPath.field(path, property);
-                yield document.problem(place, "nothing", expected(child(schema, property)));
+                String fieldPath = DocumentPath.field(path, property);
+                yield document.problem(fieldPath, "nothing", expected(child(schema, property)));
             }
             case "propertyNames" -> {
-                String place = DocumentPath.field(path, property);
-                yield document.problem(place, Found.quoted(property), expected(resolve(schema.path("propertyNames"))));
+                String fieldPath = DocumentPath.field(path, property);
+                yield document.problem(
+                        fieldPath, ValueText.quoted(property), expected(resolve(schema.path("propertyNames"))));
             }
-            default -> wrongValue(document, path, message.getInstanceNode(), schema);
+            default -> invalidValue(document, path, message.getInstanceNode(), schema);
         };
     }
 
     private SettingsProblem unknownField(Document document, String path, String property, JsonNode schema) {
         List<String> names = new ArrayList<>();
         schema.path("properties").fieldNames().forEachRemaining(names::add);
-        String place = DocumentPath.field(path, property);
+        String fieldPath = DocumentPath.field(path, property);
         String choices = "one of " + String.join(", ", names);
-        return document.problem(place, Found.quoted(property), choices, NearestName.of(property, names));
+        return document.problem(fieldPath, ValueText.quoted(property), choices, NearestName.of(property, names));
     }
 
-    private SettingsProblem wrongValue(Document document, String path, JsonNode value, JsonNode schema) {
-        String found = Found.of(value);
-        if (path.endsWith("." + SECRET) && value != null && value.isTextual()) {
+    private SettingsProblem invalidValue(Document document, String path, JsonNode value, JsonNode schema) {
+        String found = ValueText.of(value);
+        if (path.endsWith("." + SECRET_FIELD) && value != null && value.isTextual()) {
             found = "a token of " + value.textValue().length() + " characters";
         }
         Optional<String> nearest = Optional.empty();
@@ -128,9 +129,9 @@
             case "object" -> "a mapping";
             case "array" -> "a list";
             case "boolean" -> "true or false";
-            case "integer" -> "a whole number" + range(schema);
+            case "integer" -> "an integer" + range(schema);
             case "number" -> "a number" + range(schema);
-            default -> "a text";
+            default -> "a string";
         };
     }
 
@@ -175,8 +176,8 @@
     }
 
     private JsonNode child(JsonNode schema, String name) {
-        JsonNode named = schema.path("properties").path(name);
-        return resolve(named.isMissingNode() ? schema.path("additionalProperties") : named);
+        JsonNode propertySchema = schema.path("properties").path(name);
+        return resolve(propertySchema.isMissingNode() ? schema.path("additionalProperties") : propertySchema);
     }
 
     private JsonNode resolve(JsonNode schema) {
--- a/wagtaillug-settings/src/main/java/org/wagtaillug/settings/SettingsProblem.java
+++ b/wagtaillug-settings/src/main/java/org/wagtaillug/settings/SettingsProblem.java
@@ -3,18 +3,18 @@
 import java.util.Optional;
 
 /**
- * One fault of a file. Prints as
+ * One problem of a settings file. Its text is, for example
  *
  * <pre>{@code
  * ramdin.yaml:12: stages[2].wrok: found "wrok"; expected one of id, pool, work; did you mean "work"?
  * }</pre>
  *
- * @param file the file's name as the reader was given it
- * @param line the line in the file, from 1
- * @param path where in the document, for example {@code stages[2].work}; empty for the document itself
- * @param found what stands there
- * @param expected what should stand there
- * @param nearest the valid choice that resembles what was found most; empty if none does
+ * @param file the file's name as given to the reader
+ * @param line the line in the file, starting at 1
+ * @param path the path in the document, for example {@code stages[2].work}; empty for the document itself
+ * @param found description of the invalid value
+ * @param expected description of the valid values
+ * @param nearest the valid choice most similar to the invalid value; empty if none is similar
  */
 public record SettingsProblem(
         String file, int line, String path, String found, String expected, Optional<String> nearest) {
--- a/wagtaillug-settings/src/main/java/org/wagtaillug/settings/SettingsProblems.java
+++ b/wagtaillug-settings/src/main/java/org/wagtaillug/settings/SettingsProblems.java
@@ -7,16 +7,16 @@
 import java.util.List;
 import java.util.Map;
 
-/** Puts problems in the order in which a reader of the file meets them, and tells of one place once. */
+/** Sorts problems by line and keeps only the first problem of each path. */
 final class SettingsProblems {
     private SettingsProblems() {}
 
-    private record Place(int line, String path) {}
+    private record Location(int line, String path) {}
 
     static List<SettingsProblem> sorted(Collection<SettingsProblem> problems) {
-        Map<Place, SettingsProblem> first = new LinkedHashMap<>();
+        Map<Location, SettingsProblem> first = new LinkedHashMap<>();
         for (SettingsProblem problem : problems) {
-            first.putIfAbsent(new Place(problem.line(), problem.path()), problem);
+            first.putIfAbsent(new Location(problem.line(), problem.path()), problem);
         }
         List<SettingsProblem> sorted = new ArrayList<>(first.values());
         sorted.sort(Comparator.comparingInt(SettingsProblem::line));
--- a/wagtaillug-settings/src/main/java/org/wagtaillug/settings/ValueText.java
+++ b/wagtaillug-settings/src/main/java/org/wagtaillug/settings/ValueText.java
@@ -2,11 +2,11 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** What was found, in words short enough for one line. */
-final class Found {
-    private static final int LONGEST = 60;
+/** Describes the values found in a document for messages of one line. */
+final class ValueText {
+    private static final int MAX_LENGTH = 60;
 
-    private Found() {}
+    private ValueText() {}
 
     static String of(JsonNode value) {
         if (value == null || value.isMissingNode() || value.isNull()) {
@@ -16,24 +16,24 @@
             case OBJECT -> "a mapping";
             case ARRAY -> "a list of " + value.size();
             case STRING -> quoted(value.textValue());
-            default -> shortened(value.toString());
+            default -> truncated(value.toString());
         };
     }
 
     static String quoted(String text) {
-        return "\"" + printable(shortened(text)) + "\"";
+        return "\"" + printable(truncated(text)) + "\"";
     }
 
-    /** The text with a space for each control character, so that a problem stays on its line. */
+    /** Replaces each control character by a space, so that the message of a problem stays on one line. */
     static String printable(String text) {
         StringBuilder printable = new StringBuilder();
-        for (char letter : text.toCharArray()) {
-            printable.append(Character.isISOControl(letter) ? ' ' : letter);
+        for (char character : text.toCharArray()) {
+            printable.append(Character.isISOControl(character) ? ' ' : character);
         }
         return printable.toString();
     }
 
-    private static String shortened(String text) {
-        return text.length() <= LONGEST ? text : text.substring(0, LONGEST) + "...";
+    private static String truncated(String text) {
+        return text.length() <= MAX_LENGTH ? text : text.substring(0, MAX_LENGTH) + "...";
     }
 }
--- a/wagtaillug-settings/src/main/java/org/wagtaillug/settings/package-info.java
+++ b/wagtaillug-settings/src/main/java/org/wagtaillug/settings/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Settings of a node and contracts of operators: read from YAML, checked against schemas, given as typed values. All
- * problems of a file are collected and told at once, each with its line, what was found and what was expected.
+ * The settings of a node and the contracts of operators: read from YAML, validated against schemas and returned as
+ * typed values. All problems of a file are reported together, each with its line, the value found and the value
+ * expected.
  */
 package org.wagtaillug.settings;
--- a/wagtaillug-settings/src/test/java/org/wagtaillug/settings/ContractsTest.java
+++ b/wagtaillug-settings/src/test/java/org/wagtaillug/settings/ContractsTest.java
@@ -48,13 +48,13 @@
     }
 
     @Test
-    void tellsAllProblemsOfAFileInOneGo() {
+    void reportsAllProblemsOfAFileAtOnce() {
         String text = Golden.text("problems-of-contracts.yaml");
         assertThat(messages(text)).isEqualTo(Golden.text("problems-of-contracts.txt"));
     }
 
     @Test
-    void refusesWhatIsNoContract() {
+    void rejectsInvalidContracts() {
         List<String> texts = List.of(
                 "",
                 "# only a comment\n",
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void theJsonOfTheWireIsCheckedAsStrictly() {
+    void validatesJsonAsStrictlyAsYaml() {
         List<String> texts = List.of(
                 "{\"kind\":\"pool\",\"id\":\"a\",\"cold_limit\":0,\"id\":\"b\"}",
                 "{\"kind\":\"removed\"} {}",
--- a/wagtaillug-settings/src/test/java/org/wagtaillug/settings/ExamplesTest.java
+++ b/wagtaillug-settings/src/test/java/org/wagtaillug/settings/ExamplesTest.java
@@ -22,7 +22,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"ramdin", "himalchuli"})
-    void contractsAreValidAndWhole(String firm) throws IOException {
+    void contractsAreValidAndComplete(String firm) throws IOException {
         Path file = EXAMPLES.resolve(firm).resolve("contracts.yaml");
         List<Body> bodies = Contracts.parse(Files.readString(file), file.toString())
                 .getOrElseThrow(problems -> new AssertionError(problems.toString()));
@@ -45,7 +45,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"ramdin", "himalchuli"})
-    void nodesAreValidAndKnowEachOther(String firm) {
+    void nodesAreValidAndListEachOtherAsSeeds(String firm) {
         Set<Integer> ports = new HashSet<>();
         Set<String> domains = new HashSet<>();
         for (int number = 1; number <= NODES; number++) {
--- a/wagtaillug-settings/src/test/java/org/wagtaillug/settings/Golden.java
+++ b/wagtaillug-settings/src/test/java/org/wagtaillug/settings/Golden.java
@@ -5,15 +5,15 @@
 import java.io.UncheckedIOException;
 import java.nio.charset.StandardCharsets;
 
-/** The texts that the messages of problems must have, letter by letter. */
+/** Reads the expected texts of problem messages, which are compared exactly. */
 final class Golden {
     private Golden() {}
 
     static String text(String name) {
         try (InputStream stream = Golden.class.getResourceAsStream(name)) {
             return new String(stream.readAllBytes(), StandardCharsets.UTF_8);
-        } catch (IOException fault) {
-            throw new UncheckedIOException(fault);
+        } catch (IOException exception) {
+            throw new UncheckedIOException(exception);
         }
     }
 }
--- a/wagtaillug-settings/src/test/java/org/wagtaillug/settings/NodeSettingsTest.java
+++ b/wagtaillug-settings/src/test/java/org/wagtaillug/settings/NodeSettingsTest.java
@@ -12,7 +12,7 @@
 import org.wagtaillug.settings.NodeSettings.Role;
 
 class NodeSettingsTest {
-    private static final String SHORTEST = """
+    private static final String MINIMAL = """
             node: {vm: ramdin-node-1, domain: pl-a, region: port-louis}
             callers: {address: 10.0.0.4, port: 8001}
             administration:
@@ -24,8 +24,8 @@
             """;
 
     @Test
-    void whatIsLeftOutHasItsDefault() {
-        NodeSettings settings = NodeSettings.parse(SHORTEST, "node.yaml").get();
+    void omittedFieldsHaveDefaults() {
+        NodeSettings settings = NodeSettings.parse(MINIMAL, "node.yaml").get();
         assertThat(settings.policy()).isEqualTo(Policy.CURRENT);
         assertThat(settings.limits()).isEqualTo(new Limits(400, 1_048_576, 0.2, 0.05, Duration.ofSeconds(10)));
         assertThat(settings.platform().retention()).isEqualTo(Duration.ofHours(1));
@@ -38,16 +38,15 @@
     }
 
     @Test
-    void theGraceIsThatOfTheSupervisor() {
-        NodeSettings settings = NodeSettings.parse(SHORTEST + "shutdown_grace: 8s\n", "node.yaml")
+    void readsTheShutdownGrace() {
+        NodeSettings settings = NodeSettings.parse(MINIMAL + "shutdown_grace: 8s\n", "node.yaml")
                 .get();
         assertThat(settings.shutdownGrace()).isEqualTo(Duration.ofSeconds(8));
     }
 
     @Test
-    void otherFilesAreFoundFromTheFolderOfTheSettings() {
-        String text =
-                SHORTEST.replace("port: 8001}", "port: 8001, tls: {certificate: tls/own.pem, key: /etc/key.pem}}");
+    void resolvesFileNamesAgainstTheDirectoryOfTheSettings() {
+        String text = MINIMAL.replace("port: 8001}", "port: 8001, tls: {certificate: tls/own.pem, key: /etc/key.pem}}");
         NodeSettings settings =
                 NodeSettings.parse(text, "/etc/wagtaillug/node.yaml").get();
         assertThat(settings.callers().tls())
@@ -56,41 +55,41 @@
     }
 
     @Test
-    void neverShowsATokenInAText() {
-        NodeSettings settings = NodeSettings.parse(SHORTEST, "node.yaml").get();
+    void neverIncludesATokenInAText() {
+        NodeSettings settings = NodeSettings.parse(MINIMAL, "node.yaml").get();
         assertThat(settings.administration().accesses().getFirst().role()).isEqualTo(Role.OPERATOR);
         assertThat(settings.toString()).doesNotContain("example-operator-token");
-        assertThat(messages(SHORTEST.replace("example-operator-token", "secret")))
+        assertThat(messages(MINIMAL.replace("example-operator-token", "secret")))
                 .doesNotContain("secret");
     }
 
     @Test
-    void tellsAllProblemsOfAFileInOneGo() {
+    void reportsAllProblemsOfAFileAtOnce() {
         String text = Golden.text("problems-of-node.yaml");
         assertThat(messages(text)).isEqualTo(Golden.text("problems-of-node.txt"));
     }
 
     @Test
-    void twoListenersCannotShareAPort() {
-        String text = SHORTEST.replace("port: 8101", "port: 8001");
+    void rejectsTwoListenersOnOnePort() {
+        String text = MINIMAL.replace("port: 8101", "port: 8001");
         assertThat(messages(text))
                 .isEqualTo(
-                        "node.yaml:5: administration.port: found 8001; expected another port than that of callers\n");
+                        "node.yaml:5: administration.port: found 8001; expected a port other than that of callers\n");
     }
 
     @Test
-    void oneFileIsOneNode() {
-        assertThat(messages(SHORTEST + "---\n" + SHORTEST))
-                .isEqualTo("node.yaml:10: found a second document; expected one document, so no line ---\n");
+    void rejectsASecondDocument() {
+        assertThat(messages(MINIMAL + "---\n" + MINIMAL))
+                .isEqualTo("node.yaml:10: found a second document; expected one document, without a line ---\n");
     }
 
     @Test
-    void aFileThatIsNotThereIsAProblemLikeOthers() {
+    void reportsAMissingFileAsAProblem() {
         assertThat(NodeSettings.load(Path.of("no-such-folder", "node.yaml"))
                         .getLeft()
                         .getFirst()
                         .message())
-                .startsWith("no-such-folder/node.yaml:1: found no file that can be read");
+                .startsWith("no-such-folder/node.yaml:1: found no readable file");
     }
 
     private static String messages(String text) {
--- a/wagtaillug-settings/src/test/java/org/wagtaillug/settings/RoutedSettingsTest.java
+++ b/wagtaillug-settings/src/test/java/org/wagtaillug/settings/RoutedSettingsTest.java
@@ -9,7 +9,7 @@
 import org.wagtaillug.policy.PolicyFeatures;
 
 class RoutedSettingsTest {
-    private static final String GOOD = """
+    private static final String VALID = """
             node: { vm: 10.1.0.41, name: edge-1, domain: north }
             listen:
               callers: "10.1.0.41:8625"
@@ -27,8 +27,8 @@
     }
 
     @Test
-    void goodSettingsAreReadWhole() {
-        RoutedSettings settings = RoutedSettingsReader.read(GOOD, "node.yaml").get();
+    void readsAllFields() {
+        RoutedSettings settings = RoutedSettingsReader.read(VALID, "node.yaml").get();
         assertThat(settings.listen().callers()).hasToString("10.1.0.41:8625");
         assertThat(settings.seeds()).containsExactly(new VmId("10.2.0.25"));
         assertThat(settings.repeats().window()).isEqualTo(Duration.ofSeconds(10));
@@ -36,56 +36,56 @@
     }
 
     @Test
-    void aWrongFieldIsNamedWithTheNearestOne() {
-        assertThat(problems(GOOD.replace("  readiness:", "  readyness:")))
+    void suggestsTheNearestNameForAnUnknownField() {
+        assertThat(problems(VALID.replace("  readiness:", "  readyness:")))
                 .contains("node.yaml:4", "readyness", "did you mean \"readiness\"?");
     }
 
     @Test
-    void wrongValuesAreAllNamedAtOnce() {
-        String wrong = GOOD.replace(":8625", "").replace("10s", "soon").replace("0.2", "-1");
-        assertThat(problems(wrong)).contains("listen.callers", "repeats.window", "repeats.ratio");
+    void reportsAllInvalidValuesAtOnce() {
+        String invalid = VALID.replace(":8625", "").replace("10s", "soon").replace("0.2", "-1");
+        assertThat(problems(invalid)).contains("listen.callers", "repeats.window", "repeats.ratio");
     }
 
     @Test
-    void theProcessorAndTheBoundOfColdUpstreamsMayBeMissing() {
-        RoutedSettings missing = RoutedSettingsReader.read(GOOD, "node.yaml").get();
-        assertThat(missing.capacity()).isEqualTo(1);
-        assertThat(missing.coldBound()).isEqualTo(RoutedSettings.ColdBound.DEFAULT);
-        String text = GOOD + "processor: { share: 0.75, speed: 2 }\ncold_upstreams: { ratio: 2, fixed: 3 }\n";
-        RoutedSettings given = RoutedSettingsReader.read(text, "node.yaml").get();
-        assertThat(given.capacity()).isEqualTo(1.5);
-        assertThat(given.coldBound()).isEqualTo(new RoutedSettings.ColdBound(2, 3));
+    void processorAndColdUpstreamsAreOptional() {
+        RoutedSettings defaults = RoutedSettingsReader.read(VALID, "node.yaml").get();
+        assertThat(defaults.capacity()).isEqualTo(1);
+        assertThat(defaults.coldBound()).isEqualTo(RoutedSettings.ColdBound.DEFAULT);
+        String text = VALID + "processor: { share: 0.75, speed: 2 }\ncold_upstreams: { ratio: 2, fixed: 3 }\n";
+        RoutedSettings configured = RoutedSettingsReader.read(text, "node.yaml").get();
+        assertThat(configured.capacity()).isEqualTo(1.5);
+        assertThat(configured.coldBound()).isEqualTo(new RoutedSettings.ColdBound(2, 3));
     }
 
     @Test
-    void aProcessorWithoutCapacityIsWrong() {
-        assertThat(problems(GOOD + "processor: { share: 0, speed: fast }\n"))
+    void rejectsAProcessorWithoutCapacity() {
+        assertThat(problems(VALID + "processor: { share: 0, speed: fast }\n"))
                 .contains("processor.share", "processor.speed");
-        assertThat(problems(GOOD + "cold_upstreams: { ratio: 1 }\n")).contains("cold_upstreams.fixed");
-        assertThat(problems(GOOD + "rollouts: { ratio: 1 }\n")).contains("rollouts.fixed");
+        assertThat(problems(VALID + "cold_upstreams: { ratio: 1 }\n")).contains("cold_upstreams.fixed");
+        assertThat(problems(VALID + "rollouts: { ratio: 1 }\n")).contains("rollouts.fixed");
     }
 
     @Test
-    void anEmptyFileIsSaidToBeOne() {
+    void reportsAnEmptyFile() {
         assertThat(problems("")).contains("node.yaml:1", "found an empty text");
     }
 
     @Test
-    void allMechanismsAreUsedUnlessTheFileNamesSome() {
-        assertThat(RoutedSettingsReader.read(GOOD, "node.yaml").get().features())
+    void usesAllFeaturesExceptThoseListed() {
+        assertThat(RoutedSettingsReader.read(VALID, "node.yaml").get().features())
                 .isEqualTo(PolicyFeatures.ALL);
-        PolicyFeatures some = RoutedSettingsReader.read(GOOD + "without: [nearness]\n", "node.yaml")
+        PolicyFeatures remaining = RoutedSettingsReader.read(VALID + "without: [nearness]\n", "node.yaml")
                 .get()
                 .features();
-        assertThat(some.uses(PolicyFeature.NEARNESS)).isFalse();
-        assertThat(some.uses(PolicyFeature.EARLY_RELEASE)).isTrue();
+        assertThat(remaining.uses(PolicyFeature.NEARNESS)).isFalse();
+        assertThat(remaining.uses(PolicyFeature.EARLY_RELEASE)).isTrue();
     }
 
     @Test
-    void anUnknownMechanismIsNamedWithTheNearestOne() {
-        assertThat(problems(GOOD + "without: [neerness]\n"))
+    void suggestsTheNearestNameForAnUnknownFeature() {
+        assertThat(problems(VALID + "without: [neerness]\n"))
                 .contains("without[0]", "neerness", "did you mean \"nearness\"?");
-        assertThat(problems(GOOD + "without: nearness\n")).contains("without", "a list of mechanisms");
+        assertThat(problems(VALID + "without: nearness\n")).contains("without", "a list of policy features");
     }
 }
--- a/wagtaillug-settings/src/test/java/org/wagtaillug/settings/SettingsPropertiesTest.java
+++ b/wagtaillug-settings/src/test/java/org/wagtaillug/settings/SettingsPropertiesTest.java
@@ -35,29 +35,29 @@
 
 class SettingsPropertiesTest {
     private static final Path EXAMPLES = Path.of("..", "examples", "ramdin");
-    private static final String LETTERS = " \t:-{}[]\"'#&*!|>%@,\n0a\u00e9\u0000";
+    private static final String CHARACTERS = " \t:-{}[]\"'#&*!|>%@,\n0a\u00e9\u0000";
 
     @Property(seed = "20261201", tries = 1000)
-    void anyBodySurvivesItsJson(@ForAll("bodies") Body body) {
+    void bodiesRoundTripThroughJson(@ForAll("bodies") Body body) {
         assertThat(Contracts.fromJson(Contracts.toJson(body))).isEqualTo(Either.right(body));
     }
 
     @Property(seed = "20261202", tries = 500)
-    void anyDurationSurvivesItsText(@ForAll @LongRange(min = 1, max = 30L * 24 * 3600 * 1000) long millis) {
+    void durationsRoundTripThroughText(@ForAll @LongRange(min = 1, max = 30L * 24 * 3600 * 1000) long millis) {
         Duration duration = Duration.ofMillis(millis);
         assertThat(DurationText.parse(DurationText.format(duration))).contains(duration);
     }
 
     @Property(seed = "20261203", tries = 1000)
-    void aDamagedFileGivesProblemsAndNoException(@ForAll long seed, @ForAll @IntRange(min = 1, max = 6) int damages)
-            throws IOException {
+    void corruptedFilesCauseProblemsButNoException(
+            @ForAll long seed, @ForAll @IntRange(min = 1, max = 6) int corruptions) throws IOException {
         Random random = new Random(seed);
-        String contracts = damaged(Files.readString(EXAMPLES.resolve("contracts.yaml")), damages, random);
+        String contracts = corrupted(Files.readString(EXAMPLES.resolve("contracts.yaml")), corruptions, random);
         checkProblems(Contracts.parse(contracts, "contracts.yaml"));
-        String node = damaged(Files.readString(EXAMPLES.resolve("node-1.yaml")), damages, random);
+        String node = corrupted(Files.readString(EXAMPLES.resolve("node-1.yaml")), corruptions, random);
         checkProblems(NodeSettings.parse(node, "node.yaml"));
         Body body = new PoolContract(new PoolId("encode"), 2, 4, 8, false, true);
-        checkProblems(Contracts.fromJson(damaged(Contracts.toJson(body), damages, random)));
+        checkProblems(Contracts.fromJson(corrupted(Contracts.toJson(body), corruptions, random)));
     }
 
     private static void checkProblems(Either<List<SettingsProblem>, ?> result) {
@@ -71,15 +71,15 @@
         }
     }
 
-    private static String damaged(String text, int damages, Random random) {
-        String damaged = text;
-        for (int damage = 0; damage < damages; damage++) {
-            damaged = random.nextBoolean() ? damagedLine(damaged, random) : damagedLetter(damaged, random);
+    private static String corrupted(String text, int corruptions, Random random) {
+        String corrupted = text;
+        for (int corruption = 0; corruption < corruptions; corruption++) {
+            corrupted = random.nextBoolean() ? corruptedLine(corrupted, random) : corruptedCharacter(corrupted, random);
         }
-        return damaged;
+        return corrupted;
     }
 
-    private static String damagedLine(String text, Random random) {
+    private static String corruptedLine(String text, Random random) {
         List<String> lines = new ArrayList<>(Arrays.asList(text.split("\n", -1)));
         int line = random.nextInt(lines.size());
         switch (random.nextInt(3)) {
@@ -90,11 +90,11 @@
         return String.join("\n", lines);
     }
 
-    private static String damagedLetter(String text, Random random) {
-        int place = random.nextInt(text.length() + 1);
-        char letter = LETTERS.charAt(random.nextInt(LETTERS.length()));
-        int end = Math.min(text.length(), place + random.nextInt(2));
-        return text.substring(0, place) + letter + text.substring(end);
+    private static String corruptedCharacter(String text, Random random) {
+        int position = random.nextInt(text.length() + 1);
+        char character = CHARACTERS.charAt(random.nextInt(CHARACTERS.length()));
+        int end = Math.min(text.length(), position + random.nextInt(2));
+        return text.substring(0, position) + character + text.substring(end);
     }
 
     @Provide
@@ -106,8 +106,8 @@
                 templates(),
                 customers(),
                 Combinators.combine(names(), numbers, numbers, numbers, flags, flags)
-                        .as((name, cold, after, more, fencing, keys) -> new PoolContract(
-                                new PoolId(name), Math.min(cold, more), after, Math.max(cold, more), fencing, keys)),
+                        .as((name, cold, after, warm, fencing, keys) -> new PoolContract(
+                                new PoolId(name), Math.min(cold, warm), after, Math.max(cold, warm), fencing, keys)),
                 Combinators.combine(names(), numbers, names(), numbers)
                         .as((model, version, pool, copies) ->
                                 new PlacementContract(new ModelId(model), version, new PoolId(pool), copies)),
@@ -130,17 +130,17 @@
         Template.Builder template =
                 Template.builder(id).deadline(deadline).idempotent(idempotent).worth(worth);
         for (int index = 0; index < stages.size(); index++) {
-            Stage drawn = stages.get(index).build();
-            StageWork work = stages.size() == 1 ? StageWork.CALL : drawn.work();
+            Stage generated = stages.get(index).build();
+            StageWork work = stages.size() == 1 ? StageWork.CALL : generated.work();
             Stage.Builder stage = Stage.builder("s" + index)
-                    .pool(drawn.pool().value())
+                    .pool(generated.pool().value())
                     .work(work)
-                    .operation(drawn.operation())
-                    .attempts(idempotent ? drawn.attempts() : 1)
-                    .hedge(idempotent && drawn.hedge())
-                    .timeout(drawn.timeout());
+                    .operation(generated.operation())
+                    .attempts(idempotent ? generated.attempts() : 1)
+                    .hedge(idempotent && generated.hedge())
+                    .timeout(generated.timeout());
             if (work == StageWork.GENERATE) {
-                stage.model(drawn.id().value());
+                stage.model(generated.id().value());
             }
             template.stage(stage.build());
         }
@@ -152,11 +152,11 @@
         Arbitrary<Boolean> flags = Arbitraries.of(true, false);
         return Combinators.combine(
                         names(), names(), names(), Arbitraries.of(StageWork.class), attempts, flags, durations())
-                .as((id, pool, operation, work, most, hedge, timeout) -> Stage.builder(id)
+                .as((id, pool, operation, work, maxAttempts, hedge, timeout) -> Stage.builder(id)
                         .pool(pool)
                         .operation(operation)
                         .work(work)
-                        .attempts(most)
+                        .attempts(maxAttempts)
                         .hedge(hedge)
                         .timeout(timeout));
     }
@@ -173,7 +173,7 @@
                         shares,
                         Arbitraries.maps(names().map(TemplateId::new), parameters)
                                 .ofMaxSize(4))
-                .as((name, share, own) -> new CustomerContract(new CustomerId(name), share, own));
+                .as((name, share, entries) -> new CustomerContract(new CustomerId(name), share, entries));
     }
 
     private static Arbitrary<String> names() {
@@ -181,7 +181,9 @@
     }
 
     private static Arbitrary<Duration> durations() {
-        return Arbitraries.longs().between(1, DurationText.LONGEST.toMillis()).map(Duration::ofMillis);
+        return Arbitraries.longs()
+                .between(1, DurationText.MAX_DURATION.toMillis())
+                .map(Duration::ofMillis);
     }
 
     private static Arbitrary<Double> worths() {
