--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/RoutedDaemon.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/RoutedDaemon.java
@@ -191,7 +191,7 @@
     private PeerLink openLink() {
         return PeerLink.builder(self)
                 .bind(settings.listen().link().host(), settings.listen().link().port())
-                .longestSilence(LINK_SILENCE)
+                .acknowledgementTimeout(LINK_SILENCE)
                 .observer(new LinkObserver() {
                     @Override
                     public void connected(VmId peer) {
--- a/wagtaillug-link/src/main/java/org/wagtaillug/link/PeerLink.java
+++ b/wagtaillug-link/src/main/java/org/wagtaillug/link/PeerLink.java
@@ -64,7 +64,7 @@
     private static final long SHUTDOWN_TIMEOUT_SECONDS = 5;
 
     private final NodeId self;
-    private final Duration longestSilence;
+    private final Duration acknowledgementTimeout;
     private final EventLoopGroup eventLoops;
     private final LinkMeter meter;
     private final Bootstrap dialBootstrap;
@@ -80,7 +80,7 @@
 
     private PeerLink(Builder builder, EventLoopGroup eventLoops) throws Exception {
         this.self = builder.self;
-        this.longestSilence = builder.longestSilence;
+        this.acknowledgementTimeout = builder.acknowledgementTimeout;
         this.eventLoops = eventLoops;
         this.meter = new LinkMeter();
         this.reader = new MessageReader(self, builder.handler, meter);
@@ -216,7 +216,8 @@
         if (existing != null && existing.address().equals(target)) {
             return;
         }
-        Dialler dialler = new Dialler(peer, target, dialBootstrap, security, reader, observer, meter, longestSilence);
+        Dialler dialler =
+                new Dialler(peer, target, dialBootstrap, security, reader, observer, meter, acknowledgementTimeout);
         diallers.put(peer, dialler);
         if (existing != null) {
             existing.close();
@@ -242,7 +243,7 @@
 
     private Channel listen(Builder builder) throws Exception {
         Consumer<SocketChannel> serverSecurity = serverSecurity(builder.tls);
-        Duration acknowledgementDelay = longestSilence.dividedBy(ACKNOWLEDGEMENTS_PER_TIMEOUT);
+        Duration acknowledgementDelay = acknowledgementTimeout.dividedBy(ACKNOWLEDGEMENTS_PER_TIMEOUT);
         ChannelInitializer<SocketChannel> initializer = new ChannelInitializer<>() {
             @Override
             protected void initChannel(SocketChannel channel) {
@@ -274,7 +275,7 @@
         private int port;
         private BiConsumer<NodeId, PeerMessage> handler;
         private Optional<LinkTls> tls = Optional.empty();
-        private Duration longestSilence = DEFAULT_ACKNOWLEDGEMENT_TIMEOUT;
+        private Duration acknowledgementTimeout = DEFAULT_ACKNOWLEDGEMENT_TIMEOUT;
         private LinkObserver observer = LinkObserver.NONE;
 
         private Builder(NodeId self) {
@@ -313,8 +314,8 @@
          * Sets the acknowledgement timeout, by default {@link PeerLink#DEFAULT_ACKNOWLEDGEMENT_TIMEOUT}. It must be
          * the same on all nodes.
          */
-        public Builder longestSilence(Duration limit) {
-            this.longestSilence = limit;
+        public Builder acknowledgementTimeout(Duration timeout) {
+            this.acknowledgementTimeout = timeout;
             return this;
         }
 
--- a/wagtaillug-link/src/test/java/org/wagtaillug/link/PeerLinkTest.java
+++ b/wagtaillug-link/src/test/java/org/wagtaillug/link/PeerLinkTest.java
@@ -174,7 +174,7 @@
     @Test
     void replacesAConnectionWithoutAcknowledgements() throws Exception {
         ServerSocket listener = listen();
-        PeerLink left = open(PeerLink.builder(LEFT).bind(HOST, 0).longestSilence(Duration.ofMillis(200)));
+        PeerLink left = open(PeerLink.builder(LEFT).bind(HOST, 0).acknowledgementTimeout(Duration.ofMillis(200)));
         left.seeds(Map.of(RIGHT.vm(), address(listener.getLocalPort())));
         Socket first = listener.accept();
         resources.push(first);
@@ -191,8 +191,8 @@
      */
     @Test
     void keepsAnIdleConnectionAfterAnAcknowledgement() throws Exception {
-        PeerLink left = open(PeerLink.builder(LEFT).bind(HOST, 0).longestSilence(Duration.ofMillis(400)));
-        PeerLink right = open(PeerLink.builder(RIGHT).bind(HOST, 0).longestSilence(Duration.ofMillis(400)));
+        PeerLink left = open(PeerLink.builder(LEFT).bind(HOST, 0).acknowledgementTimeout(Duration.ofMillis(400)));
+        PeerLink right = open(PeerLink.builder(RIGHT).bind(HOST, 0).acknowledgementTimeout(Duration.ofMillis(400)));
         left.peers(List.of(member(RIGHT, right.port())));
         sendWhenConnected(left, RIGHT.vm(), probe(1));
         await(() -> left.counters().bytesIn() > 0);
