--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/RoutedDaemon.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/RoutedDaemon.java
@@ -124,9 +124,9 @@
         translation = translate.apply(kept);
         ServingSetup.Builder setup = ServingSetup.builder(self, settings.node().domain(), decoder)
                 .retryLimits(new ServingSetup.RetryLimits(
-                        settings.repeats().window(),
-                        settings.repeats().ratio(),
-                        settings.repeats().fixed()))
+                        settings.retryLimits().window(),
+                        settings.retryLimits().ratio(),
+                        settings.retryLimits().fixed()))
                 .drainGrace(settings.shutdownGrace())
                 .features(settings.features())
                 .capacity(settings.capacity())
--- a/wagtaillug-settings/src/main/java/org/wagtaillug/settings/RoutedSettings.java
+++ b/wagtaillug-settings/src/main/java/org/wagtaillug/settings/RoutedSettings.java
@@ -19,7 +19,7 @@
  * @param listen its listeners
  * @param store the address of the platform's store
  * @param seeds nodes that are likely to be running
- * @param repeats the limit on retries, for all nodes together
+ * @param retryLimits the limits on retries, for all nodes together
  * @param shutdownGrace time between the termination signal and the kill of the process
  * @param features the policy features in use
  * @param capacity the capacity of its processor, in cores of the slowest kind
@@ -31,7 +31,7 @@
         Listen listen,
         Address store,
         List<VmId> seeds,
-        Repeats repeats,
+        RetryLimits retryLimits,
         Duration shutdownGrace,
         PolicyFeatures features,
         double capacity,
@@ -92,13 +92,13 @@
     }
 
     /**
-     * The limit on retries by all nodes together.
+     * The limits on retries by all nodes together.
      *
      * @param window the length of the sliding window in which retries and requests are counted
      * @param ratio permitted retries per request
      * @param fixed permitted retries in addition to that
      */
-    public record Repeats(Duration window, double ratio, double fixed) {}
+    public record RetryLimits(Duration window, double ratio, double fixed) {}
 
     /**
      * The limit on requests per second to a cold upstream, from all nodes together.
--- a/wagtaillug-settings/src/main/java/org/wagtaillug/settings/RoutedSettingsReader.java
+++ b/wagtaillug-settings/src/main/java/org/wagtaillug/settings/RoutedSettingsReader.java
@@ -101,7 +101,7 @@
                 new RoutedSettings.Listen(callers, readiness, administration, link),
                 store,
                 seeds,
-                new RoutedSettings.Repeats(window, ratio, fixed),
+                new RoutedSettings.RetryLimits(window, ratio, fixed),
                 shutdownGrace,
                 features,
                 capacity,
