--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/RoutedDaemon.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/RoutedDaemon.java
@@ -170,7 +170,7 @@
                 new BatchCaller(kept, translation.stages(), control::submit),
                 translation,
                 link,
-                settings.listen().link().port(),
+                settings.listeners().link().port(),
                 settings.node().domain(),
                 control::submit,
                 decisions,
@@ -190,7 +190,9 @@
 
     private PeerLink openLink() {
         return PeerLink.builder(self)
-                .bind(settings.listen().link().host(), settings.listen().link().port())
+                .bind(
+                        settings.listeners().link().host(),
+                        settings.listeners().link().port())
                 .acknowledgementTimeout(LINK_SILENCE)
                 .observer(new LinkObserver() {
                     @Override
@@ -213,9 +215,9 @@
     }
 
     private void listen() throws Exception {
-        callers = connector(settings.listen().callers());
-        ServerConnector readiness = connector(settings.listen().readiness());
-        ServerConnector administration = connector(settings.listen().administration());
+        callers = connector(settings.listeners().callers());
+        ServerConnector readiness = connector(settings.listeners().readiness());
+        ServerConnector administration = connector(settings.listeners().administration());
         server.addConnector(callers);
         server.addConnector(readiness);
         server.addConnector(administration);
--- a/wagtaillug-settings/src/main/java/org/wagtaillug/settings/RoutedSettings.java
+++ b/wagtaillug-settings/src/main/java/org/wagtaillug/settings/RoutedSettings.java
@@ -16,7 +16,7 @@
  * The settings of a node that routes by host and path. docs/SETTINGS.md lists the fields.
  *
  * @param node its identity
- * @param listen its listeners
+ * @param listeners its listeners
  * @param store the address of the platform's store
  * @param seeds nodes that are likely to be running
  * @param retryLimits the limits on retries, for all nodes together
@@ -28,7 +28,7 @@
  */
 public record RoutedSettings(
         Identity node,
-        Listen listen,
+        Listeners listeners,
         Address store,
         List<VmId> seeds,
         RetryLimits retryLimits,
@@ -59,7 +59,7 @@
      * @param administration for metrics
      * @param link for the other nodes
      */
-    public record Listen(Address callers, Address readiness, Address administration, Address link) {}
+    public record Listeners(Address callers, Address readiness, Address administration, Address link) {}
 
     /**
      * An IP address and a port.
--- a/wagtaillug-settings/src/main/java/org/wagtaillug/settings/RoutedSettingsReader.java
+++ b/wagtaillug-settings/src/main/java/org/wagtaillug/settings/RoutedSettingsReader.java
@@ -98,7 +98,7 @@
         }
         return Optional.of(new RoutedSettings(
                 new RoutedSettings.Identity(new VmId(vm), name, new DomainId(domain)),
-                new RoutedSettings.Listen(callers, readiness, administration, link),
+                new RoutedSettings.Listeners(callers, readiness, administration, link),
                 store,
                 seeds,
                 new RoutedSettings.RetryLimits(window, ratio, fixed),
--- a/wagtaillug-settings/src/test/java/org/wagtaillug/settings/RoutedSettingsTest.java
+++ b/wagtaillug-settings/src/test/java/org/wagtaillug/settings/RoutedSettingsTest.java
@@ -29,7 +29,7 @@
     @Test
     void readsAllFields() {
         RoutedSettings settings = RoutedSettingsReader.read(VALID, "node.yaml").get();
-        assertThat(settings.listen().callers()).hasToString("10.1.0.41:8625");
+        assertThat(settings.listeners().callers()).hasToString("10.1.0.41:8625");
         assertThat(settings.seeds()).containsExactly(new VmId("10.2.0.25"));
         assertThat(settings.retryLimits().window()).isEqualTo(Duration.ofSeconds(10));
         assertThat(settings.shutdownGrace()).isEqualTo(Duration.ofSeconds(8));
