--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/administration/Access.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/administration/Access.java
@@ -10,19 +10,19 @@
 final class Access {
     private static final String SCHEME = "Bearer ";
 
-    private final List<NodeSettings.Access> accesses;
+    private final List<NodeSettings.AccessToken> accesses;
 
-    Access(List<NodeSettings.Access> accesses) {
+    Access(List<NodeSettings.AccessToken> accesses) {
         this.accesses = accesses;
     }
 
     /** The holder of a token, as the header {@code Authorization} brought it. */
-    Optional<NodeSettings.Access> holder(String header) {
+    Optional<NodeSettings.AccessToken> holder(String header) {
         if (header == null || !header.startsWith(SCHEME)) {
             return Optional.empty();
         }
         byte[] given = bytes(header.substring(SCHEME.length()).strip());
-        for (NodeSettings.Access access : accesses) {
+        for (NodeSettings.AccessToken access : accesses) {
             if (MessageDigest.isEqual(given, bytes(access.token()))) {
                 return Optional.of(access);
             }
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/administration/AdministrationHandler.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/administration/AdministrationHandler.java
@@ -72,7 +72,7 @@
         this.metrics = metrics;
         this.ready = ready;
         this.linkBytes = linkBytes;
-        this.access = new Access(settings.accesses());
+        this.access = new Access(settings.accessTokens());
     }
 
     private record Exchange(Request request, Response response, Callback callback) {}
@@ -99,7 +99,7 @@
     }
 
     private void administer(String path, Exchange exchange) {
-        Optional<NodeSettings.Access> holder =
+        Optional<NodeSettings.AccessToken> holder =
                 access.holder(exchange.request().getHeaders().get(HttpHeader.AUTHORIZATION));
         if (holder.isEmpty()) {
             refuse(exchange, ResultCode.FORBIDDEN, "no valid token; expected \"Authorization: Bearer TOKEN\"");
@@ -187,7 +187,7 @@
         });
     }
 
-    private void post(String path, NodeSettings.Access holder, Exchange exchange) {
+    private void post(String path, NodeSettings.AccessToken holder, Exchange exchange) {
         if (!path.equals("/admin/changes")) {
             unknown(path, exchange);
             return;
--- a/wagtaillug-settings/src/main/java/org/wagtaillug/settings/NodeSettings.java
+++ b/wagtaillug-settings/src/main/java/org/wagtaillug/settings/NodeSettings.java
@@ -83,12 +83,12 @@
      * The administration interface for operators.
      *
      * @param listener where it listens
-     * @param accesses the permitted tokens, at least one
+     * @param accessTokens the permitted tokens, at least one
      */
-    public record Administration(Listener listener, List<Access> accesses) {
-        /** Copies the accesses. */
+    public record Administration(Listener listener, List<AccessToken> accessTokens) {
+        /** Copies the tokens. */
         public Administration {
-            accesses = List.copyOf(accesses);
+            accessTokens = List.copyOf(accessTokens);
         }
     }
 
@@ -99,7 +99,7 @@
      * @param role what its holder may do
      * @param operator its holder, for the record of changes
      */
-    public record Access(String token, Role role, OperatorId operator) {
+    public record AccessToken(String token, Role role, OperatorId operator) {
         /** Omits the token, which must not be logged. */
         @Override
         public String toString() {
--- a/wagtaillug-settings/src/main/java/org/wagtaillug/settings/NodeSettingsReader.java
+++ b/wagtaillug-settings/src/main/java/org/wagtaillug/settings/NodeSettingsReader.java
@@ -12,7 +12,7 @@
 import org.wagtaillug.id.OperatorId;
 import org.wagtaillug.id.RegionId;
 import org.wagtaillug.id.VmId;
-import org.wagtaillug.settings.NodeSettings.Access;
+import org.wagtaillug.settings.NodeSettings.AccessToken;
 import org.wagtaillug.settings.NodeSettings.Administration;
 import org.wagtaillug.settings.NodeSettings.Certificate;
 import org.wagtaillug.settings.NodeSettings.Identity;
@@ -93,12 +93,12 @@
     }
 
     private Administration administration(JsonNode tree) {
-        List<Access> accesses = new ArrayList<>();
-        for (JsonNode access : tree.path("tokens")) {
-            Role role = Role.valueOf(upperCase(access, "role"));
-            accesses.add(new Access(text(access, "token"), role, new OperatorId(text(access, "operator"))));
+        List<AccessToken> accessTokens = new ArrayList<>();
+        for (JsonNode entry : tree.path("tokens")) {
+            Role role = Role.valueOf(upperCase(entry, "role"));
+            accessTokens.add(new AccessToken(text(entry, "token"), role, new OperatorId(text(entry, "operator"))));
         }
-        return new Administration(listener(tree), accesses);
+        return new Administration(listener(tree), accessTokens);
     }
 
     private Link link(JsonNode tree) {
--- a/wagtaillug-settings/src/test/java/org/wagtaillug/settings/NodeSettingsTest.java
+++ b/wagtaillug-settings/src/test/java/org/wagtaillug/settings/NodeSettingsTest.java
@@ -57,7 +57,7 @@
     @Test
     void neverIncludesATokenInAText() {
         NodeSettings settings = NodeSettings.parse(MINIMAL, "node.yaml").get();
-        assertThat(settings.administration().accesses().getFirst().role()).isEqualTo(Role.OPERATOR);
+        assertThat(settings.administration().accessTokens().getFirst().role()).isEqualTo(Role.OPERATOR);
         assertThat(settings.toString()).doesNotContain("example-operator-token");
         assertThat(messages(MINIMAL.replace("example-operator-token", "secret")))
                 .doesNotContain("secret");
