--- a/wagtaillug-settings/src/main/java/org/wagtaillug/settings/Schema.java
+++ b/wagtaillug-settings/src/main/java/org/wagtaillug/settings/Schema.java
@@ -129,9 +129,9 @@
             case "object" -> "a mapping";
             case "array" -> "a list";
             case "boolean" -> "true or false";
-            case "integer" -> "an integer" + range(schema);
+            case "integer" -> "a whole number" + range(schema);
             case "number" -> "a number" + range(schema);
-            default -> "a string";
+            default -> "a text";
         };
     }
 
