--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/Layout.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/Layout.java
@@ -21,11 +21,11 @@
 import java.util.Set;
 import java.util.TreeSet;
 import org.wagtaillug.standin.options.CommonOptions;
-import org.wagtaillug.standin.options.Nearest;
+import org.wagtaillug.standin.options.NearestName;
 import org.wagtaillug.standin.platform.Vm;
 
 /**
- * Many stand-ins and nodes, as read from a YAML file:
+ * A set of stand-ins and nodes, read from a YAML file:
  *
  * <pre>
  * region: port-louis
@@ -38,17 +38,17 @@
  *   - {name: node-1, address: 127.0.0.1, port: 9010, domain: pl-a}
  * </pre>
  *
- * <p>A stand-in's other members are the options of its kind. {@code region} holds for all entries that give none; {@code
- * defaults} give options for all stand-ins of a kind.
+ * <p>All other members of a stand-in entry are the options of its kind. {@code region} is the default region of all entries;
+ * {@code defaults} holds default options by kind.
  *
  * @param standIns the stand-ins to start
- * @param nodes what the VM list tells of the nodes
+ * @param nodes the VM list entries of the nodes
  */
 public record Layout(List<Entry> standIns, List<Vm> nodes) {
     /**
      * One stand-in.
      *
-     * @param kind what it is
+     * @param kind its kind
      * @param name its name, unique in the layout
      * @param pool its pool; upstreams only, else empty
      * @param domain its failure domain; upstreams only, else empty
@@ -63,14 +63,14 @@
             .visibility(PropertyAccessor.FIELD, JsonAutoDetect.Visibility.ANY)
             .enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION)
             .build();
-    private static final List<String> MEMBERS = List.of("region", "defaults", "standins", "nodes");
-    private static final List<String> OWN_MEMBERS = List.of("kind", "name", "pool", "domain", "region");
+    private static final List<String> TOP_LEVEL_MEMBERS = List.of("region", "defaults", "standins", "nodes");
+    private static final List<String> ENTRY_MEMBERS = List.of("kind", "name", "pool", "domain", "region");
     private static final List<String> NODE_MEMBERS = List.of("name", "address", "port", "domain", "region");
 
     /**
      * Reads a layout.
      *
-     * @return the layout, or all that is wrong with the file, one problem a line
+     * @return the layout, or all problems of the file, one per line
      */
     public static Either<String, Layout> read(Path file) {
         if (!Files.isReadable(file)) {
@@ -91,7 +91,7 @@
         private final JsonNode tree;
         private final List<String> problems = new ArrayList<>();
         private final Set<String> names = new HashSet<>();
-        private final Set<String> places = new HashSet<>();
+        private final Set<String> reservedAddresses = new HashSet<>();
 
         private Reader(String file, JsonNode tree) {
             this.file = file;
@@ -99,7 +99,7 @@
         }
 
         private Either<String, Layout> read() {
-            checkNames("", tree, MEMBERS);
+            rejectUnknownNames("", tree, TOP_LEVEL_MEMBERS);
             List<Entry> entries = new ArrayList<>();
             int index = 0;
             for (JsonNode node : tree.path("standins")) {
@@ -122,7 +122,9 @@
         private void readEntry(String path, JsonNode node, List<Entry> entries) {
             String kindName = node.path("kind").asText("");
             if (!StandInKind.NAMES.contains(kindName)) {
-                problem(path + ".kind", "found '" + kindName + "', " + Nearest.expected(kindName, StandInKind.NAMES));
+                problem(
+                        path + ".kind",
+                        "found '" + kindName + "', " + NearestName.expected(kindName, StandInKind.NAMES));
                 return;
             }
             StandInKind kind = StandInKind.of(kindName);
@@ -138,7 +140,7 @@
             if (options == null) {
                 return;
             }
-            claimPlace(path, options.address(), options.port());
+            reserveAddress(path, options.address(), options.port());
             entries.add(new Entry(kind, name, pool, domain, region, options));
         }
 
@@ -149,38 +151,38 @@
                 options.setAll((ObjectNode) defaults);
             }
             options.setAll((ObjectNode) node);
-            options.remove(OWN_MEMBERS);
+            options.remove(ENTRY_MEMBERS);
             try {
                 CommonOptions read = YAML.treeToValue(options, kind.optionsType());
-                for (String wrong : read.problems()) {
-                    problems.add(file + ": " + path + "." + wrong);
+                for (String invalid : read.problems()) {
+                    problems.add(file + ": " + path + "." + invalid);
                 }
                 return read;
             } catch (UnrecognizedPropertyException unknown) {
-                Collection<String> known = new TreeSet<>(OWN_MEMBERS);
+                Collection<String> known = new TreeSet<>(ENTRY_MEMBERS);
                 unknown.getKnownPropertyIds().forEach(id -> known.add(id.toString()));
-                problem(path + "." + unknown.getPropertyName(), Nearest.expected(unknown.getPropertyName(), known));
-            } catch (JsonProcessingException wrong) {
-                problem(path, wrong.getOriginalMessage());
+                problem(path + "." + unknown.getPropertyName(), NearestName.expected(unknown.getPropertyName(), known));
+            } catch (JsonProcessingException invalid) {
+                problem(path, invalid.getOriginalMessage());
             }
             return null;
         }
 
         private void readNode(String path, JsonNode node, List<Vm> nodes) {
-            checkNames(path + ".", node, NODE_MEMBERS);
+            rejectUnknownNames(path + ".", node, NODE_MEMBERS);
             String name = required(path, node, "name");
             int port = node.path("port").asInt();
             if (port < 1) {
                 problem(path + ".port", "found '" + node.path("port").asText() + "', expected the node's link port");
             }
             String address = node.path("address").asText("127.0.0.1");
-            claimPlace(path, address, port);
+            reserveAddress(path, address, port);
             nodes.add(new Vm(
                     name, "node", null, required(path, node, "domain"), region(path, node), address, port, "live"));
         }
 
-        private void claimPlace(String path, String address, int port) {
-            if (port != 0 && !places.add(address + ":" + port)) {
+        private void reserveAddress(String path, String address, int port) {
+            if (port != 0 && !reservedAddresses.add(address + ":" + port)) {
                 problem(path + ".port", "found " + port + " a second time, expected a port of its own");
             }
         }
@@ -200,10 +202,10 @@
             return found;
         }
 
-        private void checkNames(String path, JsonNode node, List<String> valid) {
+        private void rejectUnknownNames(String path, JsonNode node, List<String> valid) {
             node.fieldNames().forEachRemaining(name -> {
                 if (!valid.contains(name)) {
-                    problem(path + name, Nearest.expected(name, valid));
+                    problem(path + name, NearestName.expected(name, valid));
                 }
             });
         }
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/Main.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/Main.java
@@ -23,22 +23,22 @@
 import org.wagtaillug.standin.options.CommonOptions;
 import org.wagtaillug.standin.options.EngineOptions;
 import org.wagtaillug.standin.options.LogOptions;
-import org.wagtaillug.standin.options.Nearest;
+import org.wagtaillug.standin.options.NearestName;
 import org.wagtaillug.standin.options.ServiceOptions;
 import org.wagtaillug.standin.options.StageOptions;
 import org.wagtaillug.standin.options.VmsOptions;
 import org.wagtaillug.standin.options.WeightsOptions;
 
 /**
- * The program {@code standin}. Prints one JSON line on its standard output when all ports listen and runs until it is
- * ended. Exit codes: 0 all well, 1 it could not run, 2 wrong usage.
+ * Entry point of the {@code standin} program. A stand-in command prints one JSON line to standard output once all ports are
+ * listening and runs until the process is terminated. Exit codes: 0 success, 1 failure, 2 invalid usage.
  */
 public final class Main {
-    /** All went well. */
+    /** The command succeeded. */
     static final int OK = 0;
-    /** The program could not do its work. */
+    /** The command failed, for example because of an I/O error. */
     static final int SOFTWARE = 1;
-    /** The command line or a file is wrong. */
+    /** The command line or an input file is invalid. */
     static final int USAGE = 2;
 
     private static final String PROGRAM = "standin";
@@ -98,13 +98,13 @@
         System.exit(new Main(System.out, System.err).run(arguments));
     }
 
-    /** Runs the program until it is ended and returns its exit code. */
+    /** Runs the command and returns its exit code; a stand-in command returns when the process is terminated. */
     int run(String... arguments) {
         try {
-            checkNames(arguments);
+            rejectUnknownNames(arguments);
             commander.parse(arguments);
-        } catch (ParameterException wrong) {
-            return usage(wrong.getMessage());
+        } catch (ParameterException invalid) {
+            return usage(invalid.getMessage());
         }
         String command = commander.getParsedCommand();
         if (global.help) {
@@ -127,14 +127,14 @@
 
     private int runStandIn(String command) {
         StandInKind kind = StandInKind.of(command);
-        CommonOptions chosen = options.get(kind);
-        if (chosen.help()) {
+        CommonOptions selected = options.get(kind);
+        if (selected.help()) {
             return help(commander.getCommands().get(command));
         }
-        if (!chosen.problems().isEmpty()) {
-            return usage("--" + String.join("; --", chosen.problems()));
+        if (!selected.problems().isEmpty()) {
+            return usage("--" + String.join("; --", selected.problems()));
         }
-        return serve(() -> StandInProcess.start(kind, chosen));
+        return serve(() -> StandInProcess.start(kind, selected));
     }
 
     private int runAll() {
@@ -160,40 +160,40 @@
     }
 
     private int runExperimentStep(String command) {
-        boolean helps =
+        boolean helpRequested =
                 switch (command) {
                     case PLAN -> plan.help();
                     case SUMMARY -> summary.help();
                     default -> compare.help();
                 };
-        if (helps) {
+        if (helpRequested) {
             return help(commander.getCommands().get(command));
         }
         try {
-            Either<String, Void> done =
+            Either<String, Void> result =
                     switch (command) {
                         case PLAN -> plan.run(out);
                         case SUMMARY -> summary.run(out);
                         default -> compare.run(out);
                     };
-            return done.isRight() ? OK : usage(done.getLeft());
+            return result.isRight() ? OK : usage(result.getLeft());
         } catch (IOException failure) {
             err.println(PROGRAM + ": " + failure.getMessage());
             return SOFTWARE;
         }
     }
 
-    private interface Start {
+    private interface ProcessStarter {
         StandInProcess start() throws IOException;
     }
 
-    private int serve(Start start) {
-        CountDownLatch ended = new CountDownLatch(1);
-        try (StandInProcess process = start.start()) {
-            Runtime.getRuntime().addShutdownHook(new Thread(ended::countDown, "standin-end"));
+    private int serve(ProcessStarter starter) {
+        CountDownLatch terminated = new CountDownLatch(1);
+        try (StandInProcess process = starter.start()) {
+            Runtime.getRuntime().addShutdownHook(new Thread(terminated::countDown, "standin-end"));
             out.println(Json.text(process.listening()));
             out.flush();
-            ended.await();
+            terminated.await();
             return OK;
         } catch (IOException failure) {
             err.println(PROGRAM + ": " + failure.getMessage());
@@ -204,15 +204,15 @@
         }
     }
 
-    /** JCommander takes an unknown name for a main parameter and says so in words that help nobody. */
-    private void checkNames(String... arguments) {
+    /** Rejects unknown names before JCommander does: it reports them as unexpected main parameters, without valid names. */
+    private void rejectUnknownNames(String... arguments) {
         if (arguments.length == 0 || arguments[0].startsWith("--")) {
             return;
         }
         JCommander command = commander.getCommands().get(arguments[0]);
         if (command == null) {
             throw new ParameterException(
-                    "command: found '" + arguments[0] + "', " + Nearest.expected(arguments[0], commands()));
+                    "command: found '" + arguments[0] + "', " + NearestName.expected(arguments[0], commands()));
         }
         List<String> names = new ArrayList<>();
         for (ParameterDescription parameter : command.getParameters()) {
@@ -221,8 +221,8 @@
         for (int index = 1; index < arguments.length; index++) {
             String name = arguments[index];
             if (name.startsWith("--") && !names.contains(name)) {
-                throw new ParameterException("option: found '" + name + "', " + Nearest.expected(name, names) + " (in "
-                        + arguments[0] + ")");
+                throw new ParameterException("option: found '" + name + "', " + NearestName.expected(name, names)
+                        + " (in " + arguments[0] + ")");
             }
         }
     }
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/StandInKind.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/StandInKind.java
@@ -19,7 +19,7 @@
 import org.wagtaillug.standin.upstream.PlainService;
 import org.wagtaillug.standin.upstream.StageServer;
 
-/** The kinds of stand-in; each is a subcommand and the {@code kind} of a layout's entry. */
+/** The kinds of stand-in; each is a subcommand and a value of {@code kind} in a layout entry. */
 public enum StandInKind {
     /** The log service. */
     LOG(LogOptions.class, false),
@@ -29,7 +29,7 @@
     ENGINE(EngineOptions.class, true),
     /** A server of a stage pool. */
     STAGE(StageOptions.class, true),
-    /** A plain service. */
+    /** A service without stages or model, such as billing. */
     SERVICE(ServiceOptions.class, true),
     /** The weight store. */
     WEIGHTS(WeightsOptions.class, false);
@@ -45,27 +45,26 @@
         this.upstream = upstream;
     }
 
-    /** Returns the kind of a name out of {@link #NAMES}. */
+    /** Returns the kind with a name from {@link #NAMES}. */
     public static StandInKind of(String name) {
         return valueOf(name.toUpperCase(Locale.ROOT));
     }
 
-    /** Returns the name as in a command or a layout. */
+    /** Returns the name used in commands and layouts. */
     public String optionName() {
         return name().toLowerCase(Locale.ROOT);
     }
 
-    /** Returns the type of this kind's options. */
     public Class<? extends CommonOptions> optionsType() {
         return optionsType;
     }
 
-    /** Tells whether the VM list has stand-ins of this kind. */
+    /** Returns whether stand-ins of this kind are upstreams and registered in the VM list. */
     public boolean isUpstream() {
         return upstream;
     }
 
-    /** Creates a stand-in of the kind that the options belong to. */
+    /** Creates a stand-in of the kind that matches the type of the options. */
     public static StandIn create(String name, CommonOptions options, Timers timers) {
         return switch (options) {
             case LogOptions log -> new LogService(name, log, timers);
@@ -74,7 +73,7 @@
             case StageOptions stage -> new StageServer(name, stage, timers);
             case ServiceOptions service -> new PlainService(name, service, timers);
             case WeightsOptions weights -> new WeightStore(name, weights, timers);
-            default -> throw new IllegalArgumentException("no stand-in has options of " + options.getClass());
+            default -> throw new IllegalArgumentException("no stand-in kind for options of type " + options.getClass());
         };
     }
 
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/StandInProcess.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/StandInProcess.java
@@ -13,7 +13,7 @@
 import org.wagtaillug.standin.platform.VmList;
 
 /**
- * One process with one stand-in or many, each on its own port.
+ * Runs one or more stand-ins in this process, each on its own port.
  *
  * <pre>
  * try (StandInProcess process = StandInProcess.start(layout)) {
@@ -23,15 +23,15 @@
  */
 public final class StandInProcess implements AutoCloseable {
     /**
-     * The line that tells that all ports listen.
+     * The startup message, printed when all ports are listening.
      *
      * @param event always {@code listening}
-     * @param standins who listens where
+     * @param standins the endpoint of each stand-in
      */
-    public record Listening(String event, List<Place> standins) {}
+    public record Listening(String event, List<Endpoint> standins) {}
 
-    /** Where one stand-in listens. */
-    public record Place(String name, String kind, String address, int port) {}
+    /** The address and port of one stand-in. */
+    public record Endpoint(String name, String kind, String address, int port) {}
 
     private final Timers timers = new Timers();
     private final StandInServer server = new StandInServer(timers);
@@ -41,18 +41,18 @@
     private StandInProcess() {}
 
     /**
-     * Starts one stand-in; its name is its kind.
+     * Starts one stand-in, named after its kind.
      *
-     * @throws IOException when its port cannot be had
+     * @throws IOException if its port cannot be opened
      */
     public static StandInProcess start(StandInKind kind, CommonOptions options) throws IOException {
         return start(new Layout(List.of(new Layout.Entry(kind, kind.optionName(), "", "", "", options)), List.of()));
     }
 
     /**
-     * Starts all stand-ins of a layout; its VM lists show its upstreams and nodes.
+     * Starts all stand-ins of a layout and registers its upstreams and nodes in its VM lists.
      *
-     * @throws IOException when a port cannot be had; nothing is left running then
+     * @throws IOException if a port cannot be opened; all stand-ins are stopped in that case
      */
     public static StandInProcess start(Layout layout) throws IOException {
         StandInProcess process = new StandInProcess();
@@ -65,20 +65,19 @@
         return process;
     }
 
-    /** Returns the port of a stand-in. */
     public int port(String name) {
         return server.port(standIns.get(name));
     }
 
-    /** Returns who listens where. */
+    /** Returns the startup message with the endpoints of all stand-ins. */
     public Listening listening() {
-        List<Place> places = new ArrayList<>();
+        List<Endpoint> endpoints = new ArrayList<>();
         for (Map.Entry<String, StandIn> entry : standIns.entrySet()) {
             String name = entry.getKey();
-            places.add(
-                    new Place(name, entry.getValue().kind(), options.get(name).address(), port(name)));
+            endpoints.add(new Endpoint(
+                    name, entry.getValue().kind(), options.get(name).address(), port(name)));
         }
-        return new Listening("listening", places);
+        return new Listening("listening", endpoints);
     }
 
     @Override
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/experiment/PlanCommand.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/experiment/PlanCommand.java
@@ -14,7 +14,7 @@
 import org.wagtaillug.standin.Layout;
 import org.wagtaillug.standin.http.Json;
 import org.wagtaillug.standin.load.LoadFile;
-import org.wagtaillug.standin.options.Nearest;
+import org.wagtaillug.standin.options.NearestName;
 import org.wagtaillug.standin.options.UpstreamOptions;
 
 /**
@@ -67,10 +67,10 @@
      */
     public Either<String, Void> run(PrintStream printed) throws IOException {
         if (!FIRMS.contains(firm)) {
-            return Either.left("--firm: found '" + firm + "', " + Nearest.expected(firm, FIRMS));
+            return Either.left("--firm: found '" + firm + "', " + NearestName.expected(firm, FIRMS));
         }
         if (!POLICIES.contains(policy)) {
-            return Either.left("--policy: found '" + policy + "', " + Nearest.expected(policy, POLICIES));
+            return Either.left("--policy: found '" + policy + "', " + NearestName.expected(policy, POLICIES));
         }
         if (rate != null && rate <= 0) {
             return Either.left("--rate: found " + rate + ", expected requests a second, above 0");
@@ -98,7 +98,7 @@
             Path folder = root.resolve("experiments").resolve("scenarios");
             List<String> known = names(folder);
             if (!known.contains(name)) {
-                return Either.left("scenario: found '" + name + "', " + Nearest.expected(name, known));
+                return Either.left("scenario: found '" + name + "', " + NearestName.expected(name, known));
             }
             int nodes = layout.get().nodes().size();
             Either<String, Scenario> read = Scenario.read(folder.resolve(name + SUFFIX), nodes);
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/http/FaultGate.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/http/ActiveFaults.java
@@ -7,29 +7,29 @@
 import java.util.concurrent.ConcurrentHashMap;
 import org.eclipse.jetty.io.EndPoint;
 
-/** The faults that one stand-in shows at present. Safe for use from all threads. */
-public final class FaultGate {
+/** The faults currently injected into one stand-in. Thread-safe. */
+public final class ActiveFaults {
     private final Set<EndPoint> silenced = ConcurrentHashMap.newKeySet();
-    private final Map<AnswerFault, Integer> left = new EnumMap<>(AnswerFault.class);
+    private final Map<AnswerFault, Integer> remaining = new EnumMap<>(AnswerFault.class);
     private volatile boolean outage;
     private volatile double factor = 1;
 
-    /** Returns how long work of {@code millis} takes under the present slowness. */
+    /** Returns {@code millis} multiplied by the current slowdown factor. */
     public long scaled(long millis) {
         return Math.round(millis * factor);
     }
 
-    /** Tells whether every call is to be answered 503. */
+    /** Returns whether every call is answered 503. */
     boolean outage() {
         return outage;
     }
 
-    /** Tells whether a connection is never answered again. */
+    /** Returns whether a connection is never answered again. */
     boolean isSilenced(EndPoint endPoint) {
         return silenced.contains(endPoint);
     }
 
-    /** Makes the open connections silent for good and forgets those that have closed. */
+    /** Silences the open connections permanently and forgets those that have closed. */
     void silence(Collection<EndPoint> open) {
         silenced.removeIf(endPoint -> !endPoint.isOpen());
         for (EndPoint endPoint : open) {
@@ -42,23 +42,23 @@
         outage = true;
     }
 
-    void slow(double newFactor) {
-        factor = newFactor;
+    void slow(double slowdown) {
+        factor = slowdown;
     }
 
-    synchronized void spoil(Fault.Answers fault) {
-        left.put(fault.kind(), fault.count());
+    synchronized void injectAnswerFault(Fault.Answers fault) {
+        remaining.put(fault.kind(), fault.count());
     }
 
     synchronized void clear() {
-        left.clear();
+        remaining.clear();
         outage = false;
         factor = 1;
     }
 
-    /** Takes the fault for the next answer: lost before wrong before cut. */
-    synchronized AnswerFault takeAnswerFault() {
-        for (Map.Entry<AnswerFault, Integer> entry : left.entrySet()) {
+    /** Returns the fault for the next answer and decrements its count; lost takes precedence over wrong, and wrong over cut. */
+    synchronized AnswerFault nextAnswerFault() {
+        for (Map.Entry<AnswerFault, Integer> entry : remaining.entrySet()) {
             if (entry.getValue() == 0) {
                 continue;
             }
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/http/AnswerFault.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/http/AnswerFault.java
@@ -1,13 +1,13 @@
 package org.wagtaillug.standin.http;
 
-/** How one answer is spoiled. */
+/** A fault that affects a single answer. */
 public enum AnswerFault {
-    /** The answer goes out as it should. */
+    /** The answer is sent unchanged. */
     NONE,
-    /** The call takes effect, its answer never comes and the connection stays open. */
+    /** The call takes effect, but its answer is never sent and the connection stays open. */
     LOST,
-    /** The answer carries another request's ids. */
+    /** The answer carries the ids of another request. */
     WRONG,
-    /** The answer ends in the middle and the connection is closed. */
+    /** The connection is closed after half of the answer. */
     CUT
 }
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/http/ErrorAnswer.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/http/ErrorAnswer.java
@@ -3,6 +3,6 @@
 /**
  * The body of an error answer.
  *
- * @param error what is wrong, as a sentence
+ * @param error the error message
  */
 public record ErrorAnswer(String error) {}
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/http/Exchange.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/http/Exchange.java
@@ -18,17 +18,17 @@
 import org.eclipse.jetty.util.Fields;
 
 /**
- * One call and its answer, which any thread may give at any time, whole or as a stream of parts. Shows the faults on
- * answers, so that the stand-ins themselves need not know of them. All methods are safe from all threads and none blocks.
+ * One call and its answer. Any thread may answer at any time, in one piece or as a stream of parts. Applies the answer faults,
+ * so that stand-ins need no code for them. Thread-safe; no method blocks.
  */
 public final class Exchange {
-    private static final int PEEK_BYTES = 64;
+    private static final int PROBE_BYTES = 64;
 
     private final Request request;
     private final Response response;
     private final Callback callback;
     private final EndPoint endPoint;
-    private final FaultGate faults;
+    private final ActiveFaults activeFaults;
     private final Timers timers;
     private final byte[] body;
     private final List<Runnable> closeListeners = new ArrayList<>();
@@ -38,20 +38,26 @@
     private boolean writing;
     private boolean ending;
     private boolean finished;
-    private boolean peerGone;
+    private boolean disconnected;
     private int partsLeftUntilCut;
 
-    Exchange(Request request, Response response, Callback callback, byte[] body, FaultGate faults, Timers timers) {
+    Exchange(
+            Request request,
+            Response response,
+            Callback callback,
+            byte[] body,
+            ActiveFaults activeFaults,
+            Timers timers) {
         this.request = request;
         this.response = response;
         this.callback = callback;
         this.endPoint = request.getConnectionMetaData().getConnection().getEndPoint();
-        this.faults = faults;
+        this.activeFaults = activeFaults;
         this.timers = timers;
         this.body = body;
     }
 
-    /** Returns the method in capitals. */
+    /** Returns the HTTP method in upper case. */
     public String method() {
         return request.getMethod();
     }
@@ -61,7 +67,7 @@
         return Request.getPathInContext(request);
     }
 
-    /** Returns the parts of the path between its slashes. */
+    /** Returns the non-empty segments of the path. */
     public List<String> segments() {
         List<String> segments = new ArrayList<>();
         for (String segment : path().split("/")) {
@@ -72,52 +78,52 @@
         return segments;
     }
 
-    /** Returns a header, if sent. */
+    /** Returns a request header, if present. */
     public Optional<String> header(String name) {
         return Optional.ofNullable(request.getHeaders().get(name));
     }
 
-    /** Returns a query parameter, if sent. */
+    /** Returns a query parameter, if present. */
     public Optional<String> query(String name) {
         Fields fields = Request.extractQueryParameters(request);
         return Optional.ofNullable(fields.getValue(name));
     }
 
-    /** Returns the body; empty when none was sent. */
+    /** Returns the request body; empty if there is none. */
     public byte[] body() {
         return body;
     }
 
-    /** Returns the ids that the answer has to carry: the request's own, or another's under that fault. */
+    /** Returns the ids for the answer: those of the request, or those of another request if {@link AnswerFault#WRONG} applies. */
     public RequestIds ids(RequestIds own) {
-        return answerFault == AnswerFault.WRONG ? own.ofAnother() : own;
+        return answerFault == AnswerFault.WRONG ? own.ofOtherRequest() : own;
     }
 
-    /** Runs a task on a timer thread when the caller has closed the connection before the answer's end. */
+    /** Runs a task on a timer thread if the caller closes the connection before the answer is complete. */
     public synchronized void onClosed(Runnable listener) {
-        if (peerGone) {
+        if (disconnected) {
             timers.execute(listener);
             return;
         }
         closeListeners.add(listener);
     }
 
-    /** Answers a JSON error. */
+    /** Sends a JSON error. */
     public void refuse(int status, String error) {
         answer(status, new ErrorAnswer(error));
     }
 
-    /** Answers with a JSON message. */
+    /** Sends a JSON message. */
     public void answer(int status, Object message) {
         answer(status, "application/json", Json.write(message));
     }
 
-    /** Answers with bytes; a second answer is ignored. */
+    /** Sends bytes as the answer; a second answer is ignored. */
     public synchronized void answer(int status, String contentType, byte[] content) {
         if (finished || committed || ending) {
             return;
         }
-        if (isMute()) {
+        if (suppressesAnswer()) {
             return;
         }
         response.setStatus(status);
@@ -127,12 +133,12 @@
         if (answerFault == AnswerFault.CUT) {
             parts.add(ByteBuffer.wrap(content, 0, content.length / 2));
             partsLeftUntilCut = 0;
-            pump();
+            flush();
             return;
         }
         parts.add(ByteBuffer.wrap(content));
         ending = true;
-        pump();
+        flush();
     }
 
     /** Closes the connection after the answer to this call. */
@@ -141,14 +147,14 @@
     }
 
     /**
-     * Begins an answer that is written in parts.
+     * Starts an answer that is written in parts.
      *
      * @param contentType the media type
-     * @param length the whole length in bytes, or below 0 when unknown
-     * @param expectedParts how many parts will come; under the fault the answer ends after half of them
+     * @param length the total length in bytes, negative if unknown
+     * @param expectedParts the expected number of parts; {@link AnswerFault#CUT} ends the answer after half of them
      */
     public synchronized void openStream(String contentType, long length, int expectedParts) {
-        if (finished || isMute()) {
+        if (finished || suppressesAnswer()) {
             return;
         }
         response.setStatus(200);
@@ -160,14 +166,14 @@
         committed = true;
     }
 
-    /** Writes one part as UTF-8. */
+    /** Writes one part of a streamed answer as UTF-8. */
     public void write(String part) {
         write(part.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Writes one part. */
+    /** Writes one part of a streamed answer. */
     public synchronized void write(byte[] part) {
-        if (finished || !committed || ending || isMute()) {
+        if (finished || !committed || ending || suppressesAnswer()) {
             return;
         }
         if (answerFault == AnswerFault.CUT) {
@@ -177,17 +183,17 @@
             partsLeftUntilCut--;
         }
         parts.add(ByteBuffer.wrap(part));
-        pump();
+        flush();
     }
 
-    /** Returns how many parts wait for the network. */
-    public synchronized int waitingParts() {
+    /** Returns the number of parts that have not yet been written to the network. */
+    public synchronized int pendingParts() {
         return parts.size();
     }
 
-    /** Ends an answer that was written in parts. */
+    /** Ends a streamed answer. */
     public synchronized void end() {
-        if (finished || !committed || isMute()) {
+        if (finished || !committed || suppressesAnswer()) {
             return;
         }
         if (answerFault == AnswerFault.CUT) {
@@ -195,47 +201,47 @@
         } else {
             ending = true;
         }
-        pump();
+        flush();
     }
 
-    /** Writes the last part and ends the answer, in one step. */
+    /** Writes the last part and ends the answer in a single network write. */
     public synchronized void end(byte[] lastPart) {
-        boolean held = writing;
+        boolean wasWriting = writing;
         writing = true;
         write(lastPart);
-        writing = held;
+        writing = wasWriting;
         end();
     }
 
-    /** Answers 503, or breaks the connection off when the answer has begun. */
+    /** Answers 503, or aborts the connection if the answer has already started. */
     public void fail(String error) {
-        boolean begun;
+        boolean started;
         synchronized (this) {
-            begun = committed;
+            started = committed;
         }
-        if (begun) {
+        if (started) {
             abort();
             return;
         }
         refuse(503, error);
     }
 
-    /** Breaks the connection off; a silenced connection stays open. */
+    /** Aborts the connection; a silenced connection stays open. */
     public synchronized void abort() {
-        if (finished || faults.isSilenced(endPoint)) {
+        if (finished || activeFaults.isSilenced(endPoint)) {
             return;
         }
         finished = true;
         parts.clear();
         endPoint.close();
-        callback.failed(new EofException("broken off"));
+        callback.failed(new EofException("connection aborted"));
     }
 
     EndPoint endPoint() {
         return endPoint;
     }
 
-    synchronized void spoil(AnswerFault fault) {
+    synchronized void injectFault(AnswerFault fault) {
         answerFault = fault;
     }
 
@@ -244,30 +250,30 @@
     }
 
     /**
-     * Looks whether the caller has closed the connection. Jetty reads no more from a connection until its answer is
-     * complete, so a caller that gives up while its request waits would go unseen and its slot stay taken. Between the
-     * request's last byte and the answer's last byte a caller sends nothing, so that the read takes nothing away.
+     * Checks whether the caller has closed the connection. Jetty does not read from a connection until its answer is complete,
+     * so a caller that disconnects while its request is queued would go unnoticed and its slot would stay occupied. A caller
+     * sends nothing between the end of the request and the end of the answer, so this read consumes no request data.
      */
-    synchronized void lookForClose() {
-        if (finished || writing || peerGone) {
+    synchronized void detectDisconnect() {
+        if (finished || writing || disconnected) {
             return;
         }
         try {
-            ByteBuffer buffer = BufferUtil.allocate(PEEK_BYTES);
+            ByteBuffer buffer = BufferUtil.allocate(PROBE_BYTES);
             if (endPoint.isOpen() && endPoint.fill(buffer) >= 0) {
                 return;
             }
-        } catch (IOException broken) {
-            // A reset connection reads as an error: gone as well.
+        } catch (IOException reset) {
+            // A connection reset surfaces as an I/O error; treat it as closed.
         }
-        peerGone(new EofException("the caller has closed the connection"));
+        onDisconnected(new EofException("connection closed by the caller"));
     }
 
-    private boolean isMute() {
-        return answerFault == AnswerFault.LOST || faults.isSilenced(endPoint);
+    private boolean suppressesAnswer() {
+        return answerFault == AnswerFault.LOST || activeFaults.isSilenced(endPoint);
     }
 
-    private synchronized void pump() {
+    private synchronized void flush() {
         if (writing || finished) {
             return;
         }
@@ -278,7 +284,7 @@
         if (parts.isEmpty() && !ending) {
             return;
         }
-        ByteBuffer buffer = gathered();
+        ByteBuffer buffer = drainParts();
         boolean last = ending;
         writing = true;
         if (last) {
@@ -287,7 +293,7 @@
         response.write(last, buffer, Callback.from(() -> written(last), this::writeFailed));
     }
 
-    private ByteBuffer gathered() {
+    private ByteBuffer drainParts() {
         int length = 0;
         for (ByteBuffer part : parts) {
             length += part.remaining();
@@ -308,19 +314,19 @@
         synchronized (this) {
             writing = false;
         }
-        pump();
+        flush();
     }
 
     private synchronized void writeFailed(Throwable cause) {
         writing = false;
-        peerGone(cause);
+        onDisconnected(cause);
     }
 
-    private void peerGone(Throwable cause) {
-        if (peerGone) {
+    private void onDisconnected(Throwable cause) {
+        if (disconnected) {
             return;
         }
-        peerGone = true;
+        disconnected = true;
         finished = true;
         parts.clear();
         for (Runnable listener : closeListeners) {
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/http/Fault.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/http/Fault.java
@@ -4,33 +4,33 @@
 import io.vavr.control.Either;
 import java.util.List;
 import java.util.OptionalLong;
-import org.wagtaillug.standin.options.Nearest;
+import org.wagtaillug.standin.options.NearestName;
 
-/** A fault that a stand-in is told to show, as read from {@code POST /faults}. */
+/** A fault to inject into a stand-in, read from {@code POST /faults}. */
 public sealed interface Fault {
-    /** Clears all faults but silenced connections, which stay silent for good. */
+    /** Clears all faults except silenced connections, which stay silent permanently. */
     record None() implements Fault {}
 
     /** Every call answers 503. */
     record Outage() implements Fault {}
 
-    /** The connections that are open now are never answered again. */
+    /** The currently open connections are never answered again. */
     record Silent() implements Fault {}
 
-    /** All work takes {@code factor} times as long. */
+    /** All processing takes {@code factor} times as long. */
     record Slow(double factor) implements Fault {}
 
-    /** The stand-in starts anew; it is down for {@code downMillis}, or for its own restart time when absent. */
+    /** The stand-in restarts and is down for {@code downMillis}, or for its configured restart duration if absent. */
     record Restart(OptionalLong downMillis) implements Fault {}
 
-    /** The next {@code count} answers are spoiled in one way. */
+    /** The next {@code count} answers have the given fault. */
     record Answers(AnswerFault kind, int count) implements Fault {}
 
-    /** The names of all faults, as they stand in the {@code fault} member. */
+    /** The valid values of the {@code fault} member. */
     List<String> NAMES =
             List.of("none", "outage", "silent", "slow", "restart", "answer-lost", "wrong-answer", "cut-answer");
 
-    /** Reads a fault, or tells in a sentence what is wrong with it. */
+    /** Reads a fault; returns an error message if it is invalid. */
     static Either<String, Fault> read(byte[] body) {
         return Json.read(body, JsonNode.class).flatMap(Fault::read);
     }
@@ -46,7 +46,7 @@
             case "answer-lost" -> answers(AnswerFault.LOST, node.path("count"));
             case "wrong-answer" -> answers(AnswerFault.WRONG, node.path("count"));
             case "cut-answer" -> answers(AnswerFault.CUT, node.path("count"));
-            default -> Either.left("fault: found '" + name + "', " + Nearest.expected(name, NAMES));
+            default -> Either.left("fault: found '" + name + "', " + NearestName.expected(name, NAMES));
         };
     }
 
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/http/Hashing.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/http/Hashing.java
@@ -6,7 +6,7 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
 
-/** Hashes of texts by SHA-256, the same in every process. */
+/** SHA-256 hashes of texts, identical in every process. */
 public final class Hashing {
     private static final int SHORT_BYTES = 8;
 
@@ -25,8 +25,8 @@
     private static byte[] digest(String text) {
         try {
             return MessageDigest.getInstance("SHA-256").digest(text.getBytes(StandardCharsets.UTF_8));
-        } catch (NoSuchAlgorithmException impossible) {
-            throw new IllegalStateException("every Java runtime has SHA-256", impossible);
+        } catch (NoSuchAlgorithmException unavailable) {
+            throw new IllegalStateException("every Java runtime has SHA-256", unavailable);
         }
     }
 }
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/http/Json.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/http/Json.java
@@ -12,7 +12,7 @@
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 
-/** Reads and writes the JSON messages of the stand-ins; member names are in snake case. */
+/** Reads and writes the JSON messages of the stand-ins. Member names are in snake case. */
 public final class Json {
     private static final ObjectMapper MAPPER = JsonMapper.builder()
             .propertyNamingStrategy(PropertyNamingStrategies.SNAKE_CASE)
@@ -25,15 +25,15 @@
 
     private Json() {}
 
-    /** Returns the mapper itself, for trees. */
+    /** Returns the underlying mapper, for tree access. */
     public static ObjectMapper mapper() {
         return MAPPER;
     }
 
     /**
-     * Reads one message.
+     * Reads a message.
      *
-     * @return the message, or a sentence that says what is wrong with the bytes
+     * @return the message, or an error message
      */
     public static <T> Either<String, T> read(byte[] bytes, Class<T> type) {
         try {
@@ -49,12 +49,12 @@
         }
     }
 
-    /** Writes one message as UTF-8 bytes. */
+    /** Writes a message as UTF-8 bytes. */
     public static byte[] write(Object value) {
         return text(value).getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Writes one message as text on one line. */
+    /** Writes a message as a single line of text. */
     public static String text(Object value) {
         try {
             return MAPPER.writeValueAsString(value);
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/http/RequestIds.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/http/RequestIds.java
@@ -1,14 +1,14 @@
 package org.wagtaillug.standin.http;
 
 /**
- * The ids that an answer carries.
+ * The ids in an answer.
  *
  * @param request the request's id
- * @param attempt the id of this attempt at it
+ * @param attempt the attempt's id
  */
 public record RequestIds(String request, String attempt) {
-    /** Returns the ids of a request that was never sent here. */
-    RequestIds ofAnother() {
+    /** Returns ids that belong to no request sent to this stand-in. */
+    RequestIds ofOtherRequest() {
         return new RequestIds("another-" + request, "another-" + attempt);
     }
 }
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/http/StandIn.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/http/StandIn.java
@@ -1,29 +1,29 @@
 package org.wagtaillug.standin.http;
 
-/** One outside system's stand-in, met on its own port. */
+/** A stand-in for an external system, with a port of its own. */
 public interface StandIn {
-    /** Returns the name in the VM list and in messages. */
+    /** Returns the name used in the VM list and in messages. */
     String name();
 
-    /** Returns the kind: the subcommand that starts such a stand-in. */
+    /** Returns the kind, which is the name of the subcommand that starts it. */
     String kind();
 
-    /** Returns the faults that this stand-in shows. */
-    FaultGate faults();
+    /** Returns the faults injected into this stand-in. */
+    ActiveFaults faults();
 
     /**
-     * Tells whether the faults on answers apply to a call: calls that do work or change something, not the reports, so
-     * that a poll of the load does not use up a fault that is meant for a request.
+     * Returns whether answer faults apply to a call. They apply to calls that process or change something, not to reports, so
+     * that polling the load does not use up a fault intended for a request.
      */
-    boolean doesWork(Exchange exchange);
+    boolean allowsAnswerFaults(Exchange exchange);
 
-    /** Answers one call, now or later, from any thread; must not block. */
+    /** Handles a call, which may be answered later and from any thread; must not block. */
     void handle(Exchange exchange);
 
     /**
-     * Starts anew.
+     * Restarts this stand-in.
      *
-     * @param downMillis how long it stays down; below 0 for its own restart time
+     * @param downMillis how long it stays down; negative for its configured restart duration
      */
     void restart(long downMillis);
 }
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/http/Timers.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/http/Timers.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.ThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
 
-/** The clock and the few timer threads that all stand-ins of one process share, so that no thread waits for a request. */
+/** The clock and timer threads shared by all stand-ins of a process, so that no thread blocks on a request. */
 public final class Timers implements AutoCloseable {
     private static final System.Logger LOGGER = System.getLogger(Timers.class.getName());
     private static final int THREADS = 4;
@@ -24,34 +24,34 @@
         executor.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
     }
 
-    /** Returns the present time in Unix milliseconds. */
+    /** Returns the current time in Unix milliseconds. */
     public long now() {
         return System.currentTimeMillis();
     }
 
-    /** Runs a task on a timer thread as soon as one is free. */
+    /** Runs a task on the next free timer thread. */
     public void execute(Runnable task) {
-        executor.execute(guarded(task));
+        executor.execute(logFailures(task));
     }
 
     /** Runs a task once after a delay in milliseconds. */
     public Future<?> after(long millis, Runnable task) {
-        return executor.schedule(guarded(task), millis, TimeUnit.MILLISECONDS);
+        return executor.schedule(logFailures(task), millis, TimeUnit.MILLISECONDS);
     }
 
-    /** Runs a task again and again, with a pause in milliseconds between two runs. */
+    /** Runs a task repeatedly, with a delay in milliseconds between two runs. */
     public Future<?> every(long millis, Runnable task) {
-        return executor.scheduleWithFixedDelay(guarded(task), millis, millis, TimeUnit.MILLISECONDS);
+        return executor.scheduleWithFixedDelay(logFailures(task), millis, millis, TimeUnit.MILLISECONDS);
     }
 
-    /** Ends the threads; what is asked for afterwards is never run. */
+    /** Stops the threads; tasks submitted afterwards are discarded. */
     @Override
     public void close() {
         executor.shutdownNow();
     }
 
-    /** A periodic task that throws is never run again by the executor, which would freeze a stand-in without a word. */
-    private static Runnable guarded(Runnable task) {
+    /** Logs exceptions of a task. The executor never runs a periodic task again after an exception, which would silently freeze a stand-in. */
+    private static Runnable logFailures(Runnable task) {
         return () -> {
             try {
                 task.run();
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/load/LoadFile.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/load/LoadFile.java
@@ -22,7 +22,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeSet;
-import org.wagtaillug.standin.options.Nearest;
+import org.wagtaillug.standin.options.NearestName;
 
 /**
  * What to send, as read from a YAML file:
@@ -200,7 +200,7 @@
         if (wrong instanceof UnrecognizedPropertyException unknown) {
             TreeSet<String> known = new TreeSet<>();
             unknown.getKnownPropertyIds().forEach(id -> known.add(id.toString()));
-            return place + Nearest.expected(unknown.getPropertyName(), known);
+            return place + NearestName.expected(unknown.getPropertyName(), known);
         }
         return place + wrong.getOriginalMessage();
     }
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/options/CommonOptions.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/options/CommonOptions.java
@@ -5,29 +5,29 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The options that every stand-in has. */
+/** Options common to all stand-ins. */
 public class CommonOptions {
-    private static final int MAXIMUM_PORT = 65_535;
+    private static final int MAX_PORT = 65_535;
 
     @Parameter(names = "--help", help = true, description = "Shows this help")
     @JsonIgnore
     private boolean help;
 
-    @Parameter(names = "--port", description = "Port to listen on; 0 takes any free one")
+    @Parameter(names = "--port", description = "Port to listen on; 0 selects a free port")
     private int port;
 
     @Parameter(names = "--address", description = "IP address to listen on")
     private String address = "127.0.0.1";
 
-    @Parameter(names = "--seed", description = "Seed of everything random")
+    @Parameter(names = "--seed", description = "Seed of the random number generators")
     private long seed = 1;
 
-    /** Tells whether only the help is wanted. */
+    /** Returns whether help was requested. */
     public boolean help() {
         return help;
     }
 
-    /** Returns the port to listen on; 0 (the default) takes any free one. */
+    /** Returns the port to listen on; 0 (the default) selects a free port. */
     public int port() {
         return port;
     }
@@ -37,28 +37,28 @@
         return address;
     }
 
-    /** Returns the seed of everything random; 1 by default. */
+    /** Returns the seed of the random number generators; 1 by default. */
     public long seed() {
         return seed;
     }
 
-    /** Returns what is wrong with the values, a sentence each; empty when all is well. */
+    /** Returns one message for each invalid value; empty if all values are valid. */
     public List<String> problems() {
         List<String> problems = new ArrayList<>();
-        between(problems, "port", port, 0, MAXIMUM_PORT);
+        checkRange(problems, "port", port, 0, MAX_PORT);
         return problems;
     }
 
-    static void between(List<String> problems, String name, long found, long least, long most) {
-        if (found >= least && found <= most) {
+    static void checkRange(List<String> problems, String name, long found, long minimum, long maximum) {
+        if (found >= minimum && found <= maximum) {
             return;
         }
-        String range = most == Long.MAX_VALUE ? "of at least " + least : "from " + least + " to " + most;
+        String range = maximum == Long.MAX_VALUE ? "of at least " + minimum : "from " + minimum + " to " + maximum;
         problems.add(name + ": found " + found + ", expected a number " + range + "; nearest is "
-                + Math.max(least, Math.min(most, found)));
+                + Math.max(minimum, Math.min(maximum, found)));
     }
 
-    static void atLeast(List<String> problems, String name, long found, long least) {
-        between(problems, name, found, least, Long.MAX_VALUE);
+    static void checkMinimum(List<String> problems, String name, long found, long minimum) {
+        checkRange(problems, name, found, minimum, Long.MAX_VALUE);
     }
 }
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/options/EngineOptions.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/options/EngineOptions.java
@@ -4,12 +4,12 @@
 import com.beust.jcommander.Parameters;
 import java.util.List;
 
-/** The options of a model engine. */
+/** Options of a model engine. */
 @Parameters(commandDescription = "A model engine")
 public class EngineOptions extends UpstreamOptions {
     private static final int COLD_LIMIT = 2;
 
-    @Parameter(names = "--token-millis", description = "Time in milliseconds between two tokens of a stream")
+    @Parameter(names = "--token-millis", description = "Interval in milliseconds between two tokens of a stream")
     private long tokenMillis = 5;
 
     @Parameter(
@@ -17,29 +17,29 @@
             description = "Time in milliseconds until the first token of a prompt that is not cached")
     private long firstTokenMillis = 20;
 
-    @Parameter(names = "--model", description = "Name of the model that is loaded at the start")
+    @Parameter(names = "--model", description = "Name of the model loaded at startup")
     private String model = "menu-7b";
 
-    @Parameter(names = "--version-number", description = "Version of the model that is loaded at the start")
+    @Parameter(names = "--version-number", description = "Version of the model loaded at startup")
     private int versionNumber = 1;
 
-    @Parameter(names = "--checks-fencing", description = "Refuses an order with an older fencing number")
+    @Parameter(names = "--checks-fencing", description = "Rejects orders with an older fencing number")
     private boolean checksFencing;
 
-    @Parameter(names = "--prefix-cache", description = "Number of prompt prefixes that the cache holds")
+    @Parameter(names = "--prefix-cache", description = "Maximum number of cached prompt prefixes")
     private int prefixCache = 64;
 
     @Parameter(
             names = "--prefix-characters",
-            description = "Number of a prompt's first characters that make up its prefix")
+            description = "Number of leading characters of a prompt that form its prefix")
     private int prefixCharacters = 256;
 
-    /** Creates the options with their defaults. */
+    /** Creates options with default values. */
     public EngineOptions() {
         super(COLD_LIMIT);
     }
 
-    /** Returns the time in milliseconds between two tokens of a stream; 5 by default. */
+    /** Returns the interval in milliseconds between two tokens of a stream; 5 by default. */
     public long tokenMillis() {
         return tokenMillis;
     }
@@ -49,27 +49,27 @@
         return firstTokenMillis;
     }
 
-    /** Returns the name of the model that is loaded at the start; menu-7b by default. */
+    /** Returns the name of the model loaded at startup; menu-7b by default. */
     public String model() {
         return model;
     }
 
-    /** Returns the version of the model that is loaded at the start; 1 by default. */
+    /** Returns the version of the model loaded at startup; 1 by default. */
     public int versionNumber() {
         return versionNumber;
     }
 
-    /** Tells whether it refuses an order with an older fencing number; false by default. */
+    /** Returns whether orders with an older fencing number are rejected; false by default. */
     public boolean checksFencing() {
         return checksFencing;
     }
 
-    /** Returns the number of prompt prefixes that the cache holds; 64 by default. */
+    /** Returns the maximum number of cached prompt prefixes; 64 by default. */
     public int prefixCache() {
         return prefixCache;
     }
 
-    /** Returns the number of a prompt's first characters that make up its prefix; 256 by default. */
+    /** Returns the number of leading characters of a prompt that form its prefix; 256 by default. */
     public int prefixCharacters() {
         return prefixCharacters;
     }
@@ -77,11 +77,11 @@
     @Override
     public List<String> problems() {
         List<String> problems = super.problems();
-        atLeast(problems, "token-millis", tokenMillis, 1);
-        atLeast(problems, "first-token-millis", firstTokenMillis, 0);
-        atLeast(problems, "version-number", versionNumber, 0);
-        atLeast(problems, "prefix-cache", prefixCache, 0);
-        atLeast(problems, "prefix-characters", prefixCharacters, 1);
+        checkMinimum(problems, "token-millis", tokenMillis, 1);
+        checkMinimum(problems, "first-token-millis", firstTokenMillis, 0);
+        checkMinimum(problems, "version-number", versionNumber, 0);
+        checkMinimum(problems, "prefix-cache", prefixCache, 0);
+        checkMinimum(problems, "prefix-characters", prefixCharacters, 1);
         return problems;
     }
 }
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/options/Nearest.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/options/NearestName.java
@@ -2,21 +2,21 @@
 
 import java.util.Collection;
 
-/** Finds the valid name that is nearest to a wrong one, for error messages. */
-public final class Nearest {
-    private Nearest() {}
+/** Finds the valid name closest to an unknown one, for error messages. */
+public final class NearestName {
+    private NearestName() {}
 
     /**
-     * Says what was expected in place of a wrong name: {@code expected one of a, b, c; nearest is 'b'}.
+     * Describes the names that are valid in place of an unknown one: {@code expected one of a, b, c; nearest is 'b'}.
      *
-     * @param found the wrong name
+     * @param found the unknown name
      * @param valid all valid names, at least one
      */
     public static String expected(String found, Collection<String> valid) {
         return "expected one of " + String.join(", ", valid) + "; nearest is '" + of(found, valid) + "'";
     }
 
-    /** Returns the valid name with the smallest edit distance; the first of several. */
+    /** Returns the valid name with the smallest edit distance, the first one on a tie. */
     public static String of(String found, Collection<String> valid) {
         String best = "";
         int bestDistance = Integer.MAX_VALUE;
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/options/ServiceOptions.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/options/ServiceOptions.java
@@ -4,28 +4,28 @@
 import com.beust.jcommander.Parameters;
 import java.util.List;
 
-/** The options of a plain service. */
+/** Options of a plain service. */
 @Parameters(commandDescription = "A plain service")
 public class ServiceOptions extends UpstreamOptions {
     private static final int NO_COLD_LIMIT = 0;
 
-    @Parameter(names = "--work-millis", description = "Mean time in milliseconds that one request takes")
+    @Parameter(names = "--work-millis", description = "Mean processing time of a request in milliseconds")
     private long workMillis = 10;
 
-    @Parameter(names = "--checks-keys", description = "Executes an idempotency key once and repeats its first answer")
+    @Parameter(names = "--checks-keys", description = "Executes each idempotency key once and repeats the first answer")
     private boolean checksKeys;
 
-    /** Creates the options with their defaults. */
+    /** Creates options with default values. */
     public ServiceOptions() {
         super(NO_COLD_LIMIT);
     }
 
-    /** Returns the mean time in milliseconds that one request takes; 10 by default. */
+    /** Returns the mean processing time of a request in milliseconds; 10 by default. */
     public long workMillis() {
         return workMillis;
     }
 
-    /** Tells whether it executes an idempotency key once and repeats its first answer; false by default. */
+    /** Returns whether each idempotency key is executed once and its first answer repeated; false by default. */
     public boolean checksKeys() {
         return checksKeys;
     }
@@ -33,7 +33,7 @@
     @Override
     public List<String> problems() {
         List<String> problems = super.problems();
-        atLeast(problems, "work-millis", workMillis, 0);
+        checkMinimum(problems, "work-millis", workMillis, 0);
         return problems;
     }
 }
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/options/UpstreamOptions.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/options/UpstreamOptions.java
@@ -3,59 +3,57 @@
 import com.beust.jcommander.Parameter;
 import java.util.List;
 
-/** The options that every upstream has. */
+/** Options common to all upstreams. */
 public abstract class UpstreamOptions extends CommonOptions {
-    @Parameter(names = "--slots", description = "Number of requests that it works on at once")
+    @Parameter(names = "--slots", description = "Number of requests processed concurrently")
     private int slots = 8;
 
-    @Parameter(names = "--queue", description = "Number of requests that may wait for a slot; more get 429")
+    @Parameter(names = "--queue", description = "Maximum number of queued requests; further requests get 429")
     private int queue = 64;
 
-    @Parameter(
-            names = "--cold-limit",
-            description = "Number of requests that it bears at once while cold; 0 for no limit")
+    @Parameter(names = "--cold-limit", description = "Maximum number of concurrent requests while cold; 0 for no limit")
     private int coldLimit;
 
-    @Parameter(names = "--warm-after", description = "Number of requests that it has to finish to be warm")
+    @Parameter(names = "--warm-after", description = "Number of completed requests after which it is warm")
     private int warmAfter = 4;
 
-    @Parameter(names = "--load-lag-millis", description = "Time in milliseconds by which the load report lags")
+    @Parameter(names = "--load-lag-millis", description = "Delay of the load report in milliseconds")
     private long loadLagMillis = 300;
 
-    @Parameter(names = "--restart-millis", description = "Time in milliseconds that a restart takes")
+    @Parameter(names = "--restart-millis", description = "Duration of a restart in milliseconds")
     private long restartMillis = 500;
 
-    /** Gives this kind of upstream its own default of the cold limit. */
+    /** Sets the default cold limit of this kind of upstream. */
     UpstreamOptions(int coldLimit) {
         this.coldLimit = coldLimit;
     }
 
-    /** Returns the number of requests that it works on at once; 8 by default. */
+    /** Returns the number of requests processed concurrently; 8 by default. */
     public int slots() {
         return slots;
     }
 
-    /** Returns the number of requests that may wait for a slot; more get 429; 64 by default. */
+    /** Returns the maximum number of queued requests, beyond which requests get 429; 64 by default. */
     public int queue() {
         return queue;
     }
 
-    /** Returns the number of requests that it bears at once while cold; 0 for no limit; 2 by default, 0 for plain services. */
+    /** Returns the maximum number of concurrent requests while cold, 0 for no limit; 2 by default, 0 for plain services. */
     public int coldLimit() {
         return coldLimit;
     }
 
-    /** Returns the number of requests that it has to finish to be warm; 4 by default. */
+    /** Returns the number of completed requests after which it is warm; 4 by default. */
     public int warmAfter() {
         return warmAfter;
     }
 
-    /** Returns the time in milliseconds by which the load report lags; 300 by default. */
+    /** Returns the delay of the load report in milliseconds; 300 by default. */
     public long loadLagMillis() {
         return loadLagMillis;
     }
 
-    /** Returns the time in milliseconds that a restart takes; 500 by default. */
+    /** Returns the duration of a restart in milliseconds; 500 by default. */
     public long restartMillis() {
         return restartMillis;
     }
@@ -63,12 +61,12 @@
     @Override
     public List<String> problems() {
         List<String> problems = super.problems();
-        atLeast(problems, "slots", slots, 1);
-        atLeast(problems, "queue", queue, 0);
-        atLeast(problems, "cold-limit", coldLimit, 0);
-        atLeast(problems, "warm-after", warmAfter, 0);
-        atLeast(problems, "load-lag-millis", loadLagMillis, 1);
-        atLeast(problems, "restart-millis", restartMillis, 0);
+        checkMinimum(problems, "slots", slots, 1);
+        checkMinimum(problems, "queue", queue, 0);
+        checkMinimum(problems, "cold-limit", coldLimit, 0);
+        checkMinimum(problems, "warm-after", warmAfter, 0);
+        checkMinimum(problems, "load-lag-millis", loadLagMillis, 1);
+        checkMinimum(problems, "restart-millis", restartMillis, 0);
         return problems;
     }
 }
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/options/VmsOptions.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/options/VmsOptions.java
@@ -4,13 +4,13 @@
 import com.beust.jcommander.Parameters;
 import java.util.List;
 
-/** The options of the VM list. */
+/** Options of the VM list. */
 @Parameters(commandDescription = "The VM list")
 public class VmsOptions extends CommonOptions {
-    @Parameter(names = "--lag-millis", description = "Time in milliseconds until a change shows")
+    @Parameter(names = "--lag-millis", description = "Delay in milliseconds until a change becomes visible")
     private long lagMillis = 200;
 
-    /** Returns the time in milliseconds until a change shows; 200 by default. */
+    /** Returns the delay in milliseconds until a change becomes visible; 200 by default. */
     public long lagMillis() {
         return lagMillis;
     }
@@ -18,7 +18,7 @@
     @Override
     public List<String> problems() {
         List<String> problems = super.problems();
-        atLeast(problems, "lag-millis", lagMillis, 0);
+        checkMinimum(problems, "lag-millis", lagMillis, 0);
         return problems;
     }
 }
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/package-info.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Stand-ins of the outside systems that wagtaillug speaks to: log service, VM list, model engines, stage pools, plain
- * services and weight store, each on its own port and with its own faults, for tests and for trying the system out.
+ * Stand-ins for the external systems that wagtaillug depends on: log service, VM list, model engines, stage pools, plain
+ * services and weight store. Each has its own port and its own injectable faults. They serve tests and local trials.
  *
- * <p>{@link org.wagtaillug.standin.Main} is the program. One {@link org.wagtaillug.standin.StandInProcess} runs one
- * stand-in or, from a {@link org.wagtaillug.standin.Layout}, many.
+ * <p>{@link org.wagtaillug.standin.Main} is the entry point. A {@link org.wagtaillug.standin.StandInProcess} runs a single
+ * stand-in or all stand-ins of a {@link org.wagtaillug.standin.Layout}.
  */
 package org.wagtaillug.standin;
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/platform/LogService.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/platform/LogService.java
@@ -4,56 +4,56 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import org.wagtaillug.standin.http.ActiveFaults;
 import org.wagtaillug.standin.http.Exchange;
-import org.wagtaillug.standin.http.FaultGate;
 import org.wagtaillug.standin.http.StandIn;
 import org.wagtaillug.standin.http.Timers;
 import org.wagtaillug.standin.options.LogOptions;
 
 /**
- * The log service: streams of records with offsets that start at 1. A record is appended when its call arrives and the
- * answer follows after {@code append-millis}. Records outlive a restart.
+ * The log service. It holds streams of records with offsets that start at 1. A record is appended when its call arrives; the
+ * answer follows after {@code append-millis}. Records survive a restart.
  */
 public final class LogService implements StandIn {
-    private static final int RECORD_LIMIT_BYTES = 262_144;
+    private static final int MAX_RECORD_BYTES = 262_144;
     private static final int DEFAULT_LIMIT = 500;
-    private static final long WAIT_LIMIT_MILLIS = 60_000;
+    private static final long MAX_WAIT_MILLIS = 60_000;
     private static final long SECOND_MILLIS = 1_000;
 
     private record Appended(long offset, long time) {}
 
     private record Read(long oldest, long end, List<RecordStream.Entry> records) {}
 
-    private record Question(long from, int limit, long waitMillis) {}
+    private record ReadRequest(long from, int limit, long waitMillis) {}
 
     private static final class Reader {
         private final Exchange exchange;
         private final String stream;
-        private final Question question;
+        private final ReadRequest readRequest;
 
-        private Reader(Exchange exchange, String stream, Question question) {
+        private Reader(Exchange exchange, String stream, ReadRequest readRequest) {
             this.exchange = exchange;
             this.stream = stream;
-            this.question = question;
+            this.readRequest = readRequest;
         }
     }
 
     private final String name;
     private final LogOptions options;
     private final Timers timers;
-    private final FaultGate faults = new FaultGate();
+    private final ActiveFaults faults = new ActiveFaults();
     private final Map<String, RecordStream> streams = new HashMap<>();
     private final List<Reader> readers = new ArrayList<>();
-    private double allowance;
-    private long allowanceAt;
+    private double tokens;
+    private long refilledAt;
 
     /** Creates an empty log. */
     public LogService(String name, LogOptions options, Timers timers) {
         this.name = name;
         this.options = options;
         this.timers = timers;
-        this.allowance = options.appendsPerSecond();
-        this.allowanceAt = timers.now();
+        this.tokens = options.appendsPerSecond();
+        this.refilledAt = timers.now();
     }
 
     @Override
@@ -67,26 +67,26 @@
     }
 
     @Override
-    public FaultGate faults() {
+    public ActiveFaults faults() {
         return faults;
     }
 
-    /** Only appends take effect: a fault that loses an answer is not used up by the reads that go on all the time. */
+    /** Only appends are subject to answer faults, so that the continuous reads do not use up a fault. */
     @Override
-    public boolean doesWork(Exchange exchange) {
+    public boolean allowsAnswerFaults(Exchange exchange) {
         return exchange.method().equals("POST");
     }
 
     @Override
     public synchronized void handle(Exchange exchange) {
         List<String> path = exchange.segments();
-        boolean known =
+        boolean knownPath =
                 path.size() == 3 && path.get(0).equals("streams") && path.get(2).equals("records");
-        if (known && exchange.method().equals("POST")) {
+        if (knownPath && exchange.method().equals("POST")) {
             append(exchange, path.get(1));
             return;
         }
-        if (known && exchange.method().equals("GET")) {
+        if (knownPath && exchange.method().equals("GET")) {
             read(exchange, path.get(1));
             return;
         }
@@ -103,84 +103,83 @@
     }
 
     private void append(Exchange exchange, String stream) {
-        if (exchange.body().length > RECORD_LIMIT_BYTES) {
+        if (exchange.body().length > MAX_RECORD_BYTES) {
             exchange.refuse(
-                    413, "record: found " + exchange.body().length + " bytes, expected at most " + RECORD_LIMIT_BYTES);
+                    413, "record: found " + exchange.body().length + " bytes, expected at most " + MAX_RECORD_BYTES);
             return;
         }
         long now = timers.now();
-        if (!takeAllowance(now)) {
+        if (!takeToken(now)) {
             exchange.refuse(429, "expected at most " + options.appendsPerSecond() + " appends a second");
             return;
         }
         RecordStream records = streams.computeIfAbsent(stream, unused -> new RecordStream(options.retentionMillis()));
         Appended appended = new Appended(records.append(exchange.body(), now), now);
         timers.after(faults.scaled(options.appendMillis()), () -> exchange.answer(200, appended));
-        wakeReaders(stream, now);
+        notifyReaders(stream, now);
     }
 
-    /** A token bucket that holds one second's worth of appends. */
-    private boolean takeAllowance(long now) {
-        double earned = (now - allowanceAt) * (double) options.appendsPerSecond() / SECOND_MILLIS;
-        allowance = Math.min(options.appendsPerSecond(), allowance + earned);
-        allowanceAt = now;
-        if (allowance < 1) {
+    /** Takes a token from a bucket whose capacity is the number of appends allowed per second. */
+    private boolean takeToken(long now) {
+        double refill = (now - refilledAt) * (double) options.appendsPerSecond() / SECOND_MILLIS;
+        tokens = Math.min(options.appendsPerSecond(), tokens + refill);
+        refilledAt = now;
+        if (tokens < 1) {
             return false;
         }
-        allowance--;
+        tokens--;
         return true;
     }
 
     private void read(Exchange exchange, String stream) {
-        Question question;
+        ReadRequest readRequest;
         try {
-            question = question(exchange);
+            readRequest = readRequest(exchange);
         } catch (NumberFormatException malformed) {
             exchange.refuse(400, "from, limit, wait: expected whole numbers: " + malformed.getMessage());
             return;
         }
-        Reader reader = new Reader(exchange, stream, question);
+        Reader reader = new Reader(exchange, stream, readRequest);
         long now = timers.now();
         RecordStream records = streams.get(stream);
-        boolean nothingNew = records == null || records.end() <= question.from();
-        if (nothingNew && question.waitMillis() > 0) {
+        boolean nothingNew = records == null || records.end() <= readRequest.from();
+        if (nothingNew && readRequest.waitMillis() > 0) {
             readers.add(reader);
-            exchange.onClosed(() -> forget(reader));
-            timers.after(question.waitMillis(), () -> giveUp(reader));
+            exchange.onClosed(() -> removeReader(reader));
+            timers.after(readRequest.waitMillis(), () -> expire(reader));
             return;
         }
         answer(reader, now);
     }
 
-    private static Question question(Exchange exchange) {
-        return new Question(
+    private static ReadRequest readRequest(Exchange exchange) {
+        return new ReadRequest(
                 Math.max(1, Long.parseLong(exchange.query("from").orElse("1"))),
                 Math.max(1, Integer.parseInt(exchange.query("limit").orElse("" + DEFAULT_LIMIT))),
-                Math.min(
-                        WAIT_LIMIT_MILLIS, Long.parseLong(exchange.query("wait").orElse("0"))));
+                Math.min(MAX_WAIT_MILLIS, Long.parseLong(exchange.query("wait").orElse("0"))));
     }
 
-    private void wakeReaders(String stream, long now) {
+    private void notifyReaders(String stream, long now) {
         RecordStream records = streams.get(stream);
-        List<Reader> woken = new ArrayList<>();
+        List<Reader> ready = new ArrayList<>();
         for (Reader reader : readers) {
-            if (reader.stream.equals(stream) && reader.question.from() < records.end()) {
-                woken.add(reader);
+            if (reader.stream.equals(stream) && reader.readRequest.from() < records.end()) {
+                ready.add(reader);
             }
         }
-        readers.removeAll(woken);
-        for (Reader reader : woken) {
+        readers.removeAll(ready);
+        for (Reader reader : ready) {
             answer(reader, now);
         }
     }
 
-    private synchronized void giveUp(Reader reader) {
+    private synchronized void expire(Reader reader) {
         if (readers.remove(reader)) {
             answer(reader, timers.now());
         }
     }
 
-    private synchronized void forget(Reader reader) {
+    private synchronized void removeReader(Reader reader) {
         readers.remove(reader);
     }
 
@@ -188,16 +187,18 @@
         RecordStream records = streams.get(reader.stream);
         Read answer = new Read(1, 1, List.of());
         if (records != null) {
-            records.dropOld(now);
+            records.dropExpired(now);
             answer = new Read(
-                    records.oldest(), records.end(), records.read(reader.question.from(), reader.question.limit()));
+                    records.oldest(),
+                    records.end(),
+                    records.read(reader.readRequest.from(), reader.readRequest.limit()));
         }
-        Read whole = answer;
+        Read page = answer;
         long extraMillis = faults.scaled(options.appendMillis()) - options.appendMillis();
         if (extraMillis <= 0) {
-            reader.exchange.answer(200, whole);
+            reader.exchange.answer(200, page);
             return;
         }
-        timers.after(extraMillis, () -> reader.exchange.answer(200, whole));
+        timers.after(extraMillis, () -> reader.exchange.answer(200, page));
     }
 }
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/platform/RecordStream.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/platform/RecordStream.java
@@ -3,18 +3,18 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The records of one stream that are still held. Not safe from several threads. */
+/** The retained records of one stream. Not thread-safe. */
 final class RecordStream {
     /**
      * One record.
      *
-     * @param offset its place, from 1
+     * @param offset its position in the stream, from 1
      * @param time when it was appended, in Unix milliseconds
-     * @param data its bytes; base64 in JSON
+     * @param data its content; base64-encoded in JSON
      */
     record Entry(long offset, long time, byte[] data) {}
 
-    private static final int DROP_AT_ONCE = 1_024;
+    private static final int COMPACTION_THRESHOLD = 1_024;
 
     private final long retentionMillis;
     private final List<Entry> entries = new ArrayList<>();
@@ -26,30 +26,30 @@
     }
 
     long append(byte[] data, long now) {
-        dropOld(now);
+        dropExpired(now);
         long offset = end;
         end++;
         entries.add(new Entry(offset, now, data));
         return offset;
     }
 
-    /** Drops what has passed the retention time. */
-    void dropOld(long now) {
+    /** Drops records older than the retention time. They are removed from the list in batches. */
+    void dropExpired(long now) {
         while (dropped < entries.size() && now - entries.get(dropped).time() >= retentionMillis) {
             dropped++;
         }
-        if (dropped >= DROP_AT_ONCE) {
+        if (dropped >= COMPACTION_THRESHOLD) {
             entries.subList(0, dropped).clear();
             dropped = 0;
         }
     }
 
-    /** Returns the oldest offset that is still held; {@link #end} when none is. */
+    /** Returns the oldest retained offset; {@link #end} if no record is retained. */
     long oldest() {
         return end - (entries.size() - dropped);
     }
 
-    /** Returns the offset that the next append will get. */
+    /** Returns the offset of the next append. */
     long end() {
         return end;
     }
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/platform/Vm.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/platform/Vm.java
@@ -2,10 +2,10 @@
 
 import java.util.List;
 import java.util.Optional;
-import org.wagtaillug.standin.options.Nearest;
+import org.wagtaillug.standin.options.NearestName;
 
 /**
- * One entry of the VM list.
+ * An entry of the VM list.
  *
  * @param vm the VM's name
  * @param kind {@code node} or {@code upstream}
@@ -21,16 +21,16 @@
     private static final List<String> KINDS = List.of("node", "upstream");
     private static final List<String> STATES = List.of("live", "leaving");
 
-    /** Returns what is wrong with the entry, as a sentence. */
+    /** Returns an error message if the entry is invalid. */
     Optional<String> problem() {
         if (vm == null || domain == null || region == null || address == null) {
             return Optional.of("vm, domain, region, address: expected all four");
         }
         if (!KINDS.contains("" + kind)) {
-            return Optional.of("kind: found '" + kind + "', " + Nearest.expected("" + kind, KINDS));
+            return Optional.of("kind: found '" + kind + "', " + NearestName.expected("" + kind, KINDS));
         }
         if (!STATES.contains("" + state)) {
-            return Optional.of("state: found '" + state + "', " + Nearest.expected("" + state, STATES));
+            return Optional.of("state: found '" + state + "', " + NearestName.expected("" + state, STATES));
         }
         if (kind.equals("upstream") && pool == null) {
             return Optional.of("pool: missing, expected one for an upstream");
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/platform/VmList.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/platform/VmList.java
@@ -8,14 +8,14 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
+import org.wagtaillug.standin.http.ActiveFaults;
 import org.wagtaillug.standin.http.Exchange;
-import org.wagtaillug.standin.http.FaultGate;
 import org.wagtaillug.standin.http.Json;
 import org.wagtaillug.standin.http.StandIn;
 import org.wagtaillug.standin.http.Timers;
 import org.wagtaillug.standin.options.VmsOptions;
 
-/** The VM list: changes show after its lag, in the order in which they came. The list outlives a restart. */
+/** The VM list. Changes become visible after the configured delay, in the order of their arrival. The list survives a restart. */
 public final class VmList implements StandIn {
     private record Change(long showsAt, String vm, Optional<Vm> entry) {}
 
@@ -24,9 +24,9 @@
     private final String name;
     private final VmsOptions options;
     private final Timers timers;
-    private final FaultGate faults = new FaultGate();
+    private final ActiveFaults faults = new ActiveFaults();
     private final Map<String, Vm> accepted = new TreeMap<>();
-    private final Map<String, Vm> shown = new TreeMap<>();
+    private final Map<String, Vm> visible = new TreeMap<>();
     private final Deque<Change> changes = new ArrayDeque<>();
 
     /** Creates an empty list. */
@@ -36,10 +36,10 @@
         this.timers = timers;
     }
 
-    /** Lists a VM at once, without the lag. */
+    /** Adds a VM that is visible immediately. */
     public synchronized void register(Vm vm) {
         accepted.put(vm.vm(), vm);
-        shown.put(vm.vm(), vm);
+        visible.put(vm.vm(), vm);
     }
 
     @Override
@@ -53,12 +53,12 @@
     }
 
     @Override
-    public FaultGate faults() {
+    public ActiveFaults faults() {
         return faults;
     }
 
     @Override
-    public boolean doesWork(Exchange exchange) {
+    public boolean allowsAnswerFaults(Exchange exchange) {
         return true;
     }
 
@@ -80,15 +80,15 @@
 
     @Override
     public void restart(long downMillis) {
-        // Nothing runs here that a restart could break off.
+        // There is no running work that a restart could interrupt.
     }
 
     private void list(Exchange exchange) {
         long now = timers.now();
         while (!changes.isEmpty() && changes.peek().showsAt() <= now) {
-            show(changes.poll());
+            applyChange(changes.poll());
         }
-        Listed listed = new Listed(new ArrayList<>(shown.values()));
+        Listed listed = new Listed(new ArrayList<>(visible.values()));
         long extraMillis = faults.scaled(options.lagMillis()) - options.lagMillis();
         if (extraMillis <= 0) {
             exchange.answer(200, listed);
@@ -97,12 +97,12 @@
         timers.after(extraMillis, () -> exchange.answer(200, listed));
     }
 
-    private void show(Change change) {
+    private void applyChange(Change change) {
         if (change.entry().isPresent()) {
-            shown.put(change.vm(), change.entry().get());
+            visible.put(change.vm(), change.entry().get());
             return;
         }
-        shown.remove(change.vm());
+        visible.remove(change.vm());
     }
 
     private void put(Exchange exchange, String vm) {
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/platform/WeightStore.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/platform/WeightStore.java
@@ -3,41 +3,41 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
+import org.wagtaillug.standin.http.ActiveFaults;
 import org.wagtaillug.standin.http.Exchange;
-import org.wagtaillug.standin.http.FaultGate;
 import org.wagtaillug.standin.http.Hashing;
 import org.wagtaillug.standin.http.StandIn;
 import org.wagtaillug.standin.http.Timers;
 import org.wagtaillug.standin.options.WeightsOptions;
 
-/** The weight store: streams random bytes, the same for the same model and version, at a rate that all transfers share. */
+/** The weight store. It streams pseudo-random bytes that depend on model and version only; all transfers share one bandwidth limit. */
 public final class WeightStore implements StandIn {
     private static final long TICK_MILLIS = 20;
     private static final long SECOND_MILLIS = 1_000;
-    private static final int LARGEST_PART = 1_048_576;
-    private static final int PARTS_WAITING_AT_MOST = 4;
+    private static final int MAX_PART_BYTES = 1_048_576;
+    private static final int MAX_PENDING_PARTS = 4;
 
     private static final class Transfer {
         private final Exchange exchange;
         private final SplittableRandom random;
-        private long left;
+        private long remaining;
 
-        private Transfer(Exchange exchange, SplittableRandom random, long left) {
+        private Transfer(Exchange exchange, SplittableRandom random, long remaining) {
             this.exchange = exchange;
             this.random = random;
-            this.left = left;
+            this.remaining = remaining;
         }
     }
 
     private final String name;
     private final WeightsOptions options;
     private final Timers timers;
-    private final FaultGate faults = new FaultGate();
+    private final ActiveFaults faults = new ActiveFaults();
     private final List<Transfer> transfers = new ArrayList<>();
     private double budget;
     private long budgetAt;
 
-    /** Creates a store that has every model. */
+    /** Creates a store that serves every model and version. */
     public WeightStore(String name, WeightsOptions options, Timers timers) {
         this.name = name;
         this.options = options;
@@ -57,20 +57,20 @@
     }
 
     @Override
-    public FaultGate faults() {
+    public ActiveFaults faults() {
         return faults;
     }
 
     @Override
-    public boolean doesWork(Exchange exchange) {
+    public boolean allowsAnswerFaults(Exchange exchange) {
         return true;
     }
 
     @Override
     public synchronized void handle(Exchange exchange) {
         List<String> path = exchange.segments();
-        boolean known = path.size() == 3 && path.get(0).equals("weights");
-        if (!known || !exchange.method().equals("GET")) {
+        boolean knownPath = path.size() == 3 && path.get(0).equals("weights");
+        if (!knownPath || !exchange.method().equals("GET")) {
             exchange.refuse(
                     404, exchange.method() + " " + exchange.path() + ": expected GET /weights/{model}/{version}");
             return;
@@ -78,7 +78,7 @@
         long seed = Hashing.number(path.get(1) + "/" + path.get(2));
         Transfer transfer = new Transfer(exchange, new SplittableRandom(seed), options.sizeBytes());
         exchange.openStream("application/octet-stream", options.sizeBytes(), expectedParts());
-        exchange.onClosed(() -> forget(transfer));
+        exchange.onClosed(() -> removeTransfer(transfer));
         transfers.add(transfer);
     }
 
@@ -95,7 +95,7 @@
         return (int) Math.min(Integer.MAX_VALUE, options.sizeBytes() / bytesPerPart);
     }
 
-    private synchronized void forget(Transfer transfer) {
+    private synchronized void removeTransfer(Transfer transfer) {
         transfers.remove(transfer);
     }
 
@@ -118,14 +118,14 @@
     }
 
     private long send(Transfer transfer, long share) {
-        if (transfer.exchange.waitingParts() >= PARTS_WAITING_AT_MOST) {
+        if (transfer.exchange.pendingParts() >= MAX_PENDING_PARTS) {
             return 0;
         }
-        int length = (int) Math.min(transfer.left, Math.min(share, LARGEST_PART));
+        int length = (int) Math.min(transfer.remaining, Math.min(share, MAX_PART_BYTES));
         byte[] part = new byte[length];
         transfer.random.nextBytes(part);
-        transfer.left -= length;
-        if (transfer.left > 0) {
+        transfer.remaining -= length;
+        if (transfer.remaining > 0) {
             transfer.exchange.write(part);
             return length;
         }
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/upstream/Completion.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/upstream/Completion.java
@@ -8,16 +8,16 @@
     private Completion() {}
 
     /**
-     * What a caller asks.
+     * A completion request.
      *
-     * @param model the model's name; absent for whichever is loaded
+     * @param model the model's name; absent for the currently loaded model
      * @param prompt the prompt
-     * @param maxTokens how many tokens to give, counted from token 0
-     * @param stream whether to send each token as an event
+     * @param maxTokens the number of tokens to generate, counted from token 0
+     * @param stream whether each token is sent as an event
      * @param request the request's id
      * @param attempt this attempt's id
-     * @param resumeFrom the first token to give
-     * @param seed the seed
+     * @param resumeFrom the offset of the first token to generate
+     * @param seed the seed of the generated tokens
      */
     record Call(
             String model,
@@ -28,14 +28,14 @@
             String attempt,
             Integer resumeFrom,
             Long seed) {
-        private static final int DEFAULT_MAXIMUM_TOKENS = 16;
+        private static final int DEFAULT_MAX_TOKENS = 16;
 
-        /** Returns the call with a default for each absent member. */
+        /** Returns the call with defaults for all absent members. */
         Call withDefaults(String requestHeader, String attemptHeader) {
             return new Call(
                     model,
                     prompt,
-                    maxTokens == null ? DEFAULT_MAXIMUM_TOKENS : maxTokens,
+                    maxTokens == null ? DEFAULT_MAX_TOKENS : maxTokens,
                     Boolean.TRUE.equals(stream),
                     request == null ? requestHeader : request,
                     attempt == null ? attemptHeader : attempt,
@@ -44,9 +44,9 @@
         }
     }
 
-    /** One choice; {@code finishReason} is null while more comes. */
+    /** A choice; {@code finishReason} is null until the last token. */
     record Choice(String text, @JsonInclude String finishReason) {}
 
-    /** One token's event, or the whole answer when not streamed. */
+    /** The event of one token, or the complete answer if it is not streamed. */
     record Answer(String id, String request, int tokenOffset, List<Choice> choices) {}
 }
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/upstream/Counters.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/upstream/Counters.java
@@ -4,17 +4,17 @@
 import java.util.Map;
 
 /**
- * What an upstream has done since its process started; a restart does not reset it.
+ * Counters of an upstream since the start of the stand-in process; a simulated restart does not reset them.
  *
- * @param executed how many requests were finished
- * @param cancelled how many were cancelled, by order or by a closed connection
- * @param refused how many were answered 429
- * @param fellOver how often it fell over while cold
- * @param peakRunningWhileCold the most requests that it was given at once while cold, one too many included
- * @param lastTakenAt when it was last given a request that it took; 0 if never
- * @param prefixHits how many completions found their prompt's prefix cached; engines only
- * @param prefixMisses how many did not; engines only
- * @param byRequest how often each of the last requests was executed, by request id
+ * @param executed the number of completed requests
+ * @param cancelled the number of requests cancelled explicitly or by a closed connection
+ * @param refused the number of requests answered 429
+ * @param fellOver the number of crashes caused by overload while cold
+ * @param peakRunningWhileCold the maximum number of concurrent requests while cold, including one that caused a crash
+ * @param lastTakenAt when it last accepted a request, in Unix milliseconds; 0 if never
+ * @param prefixHits the number of completions whose prompt prefix was cached; engines only
+ * @param prefixMisses the number of completions whose prompt prefix was not cached; engines only
+ * @param byRequest the number of executions of each recent request, by request id
  */
 public record Counters(
         long executed,
@@ -27,9 +27,9 @@
         long prefixMisses,
         Map<String, Integer> byRequest) {
 
-    /** The counting behind {@link Counters}. Not safe from several threads. */
+    /** Accumulates {@link Counters}. Not thread-safe. */
     static final class Tally {
-        private static final int REQUESTS_KEPT = 10_000;
+        private static final int MAX_REQUESTS = 10_000;
 
         private long executed;
         private long cancelled;
@@ -41,7 +41,7 @@
         private final Map<String, Integer> byRequest = new LinkedHashMap<>() {
             @Override
             protected boolean removeEldestEntry(Map.Entry<String, Integer> eldest) {
-                return size() > REQUESTS_KEPT;
+                return size() > MAX_REQUESTS;
             }
         };
 
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/upstream/Engine.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/upstream/Engine.java
@@ -9,16 +9,16 @@
 import org.wagtaillug.standin.http.Json;
 import org.wagtaillug.standin.http.Timers;
 import org.wagtaillug.standin.options.EngineOptions;
-import org.wagtaillug.standin.options.Nearest;
+import org.wagtaillug.standin.options.NearestName;
 
 /**
- * A model engine with continuous batching: every {@code token-millis} each running completion gets one token. A prompt
- * whose prefix is cached gets its first token in a quarter of the time.
+ * A model engine with continuous batching: each running completion generates one token every {@code token-millis}. If the
+ * prompt's prefix is cached, the time to the first token is a quarter of the usual time.
  */
 public final class Engine extends Upstream<EngineJob> {
     private static final List<String> ORDERS = List.of("load", "unload", "role");
     private static final int CACHED_SPEEDUP = 4;
-    private static final int STEPS_BEHIND_AT_MOST = 20;
+    private static final int MAX_STEPS_BEHIND = 20;
 
     private final EngineOptions options;
     private final PrefixCache cache;
@@ -29,7 +29,7 @@
     private boolean stepping;
     private long nextStepAt;
 
-    /** Creates an engine that has just started with its model loaded. */
+    /** Creates a cold engine with its initial model loaded. */
     public Engine(String name, EngineOptions options, Timers timers) {
         super(name, options, timers);
         this.options = options;
@@ -44,12 +44,12 @@
     }
 
     @Override
-    void work(Exchange exchange) {
+    void handleWork(Exchange exchange) {
         List<String> path = exchange.segments();
         String call = exchange.method() + " " + (path.isEmpty() ? "" : path.get(0));
         switch (call) {
             case "POST v1" -> complete(exchange);
-            case "DELETE v1" -> cancelByOrder(exchange, path);
+            case "DELETE v1" -> cancelAttempt(exchange, path);
             case "POST orders" -> order(exchange);
             case "GET cache" -> cacheEvents(exchange);
             case "GET kv" -> exportCache(exchange, path);
@@ -66,7 +66,7 @@
         String prefix = prefix(job.call().prompt());
         long firstToken = options.firstTokenMillis();
         boolean cached = cache.get(prefix).isPresent();
-        notePrefix(cached);
+        recordPrefixLookup(cached);
         if (cached) {
             firstToken = firstToken / CACHED_SPEEDUP;
         } else {
@@ -81,18 +81,18 @@
     }
 
     @Override
-    void reset() {
+    void clearState() {
         cache.clear();
     }
 
     @Override
-    LoadReport describe(LoadReport plain) {
+    LoadReport withDetails(LoadReport common) {
         return new LoadReport(
-                plain.startedAt(),
-                plain.reportedAt(),
-                plain.running(),
-                plain.waiting(),
-                plain.slots(),
+                common.startedAt(),
+                common.reportedAt(),
+                common.running(),
+                common.waiting(),
+                common.slots(),
                 model.orElse(null),
                 model.isPresent() ? version : null,
                 fencingNumber,
@@ -149,7 +149,7 @@
 
     private void scheduleStep(long now) {
         nextStepAt += Math.max(1, faults().scaled(options.tokenMillis()));
-        if (now - nextStepAt > STEPS_BEHIND_AT_MOST * options.tokenMillis()) {
+        if (now - nextStepAt > MAX_STEPS_BEHIND * options.tokenMillis()) {
             nextStepAt = now;
         }
         timers().after(Math.max(0, nextStepAt - now), this::step);
@@ -176,7 +176,7 @@
         scheduleStep(now);
     }
 
-    private void cancelByOrder(Exchange exchange, List<String> path) {
+    private void cancelAttempt(Exchange exchange, List<String> path) {
         if (path.size() != 3) {
             exchange.refuse(404, "expected DELETE /v1/completions/{attempt}");
             return;
@@ -213,7 +213,7 @@
         }
         if (options.checksFencing() && order.fencingNumber() < fencingNumber) {
             String error = "fencing_number: found " + order.fencingNumber() + ", expected at least " + fencingNumber;
-            exchange.answer(409, new Order.Refused(error, fencingNumber));
+            exchange.answer(409, new Order.Rejected(error, fencingNumber));
             return;
         }
         Optional<String> problem = apply(order);
@@ -222,7 +222,7 @@
             return;
         }
         fencingNumber = order.fencingNumber();
-        exchange.answer(200, new Order.Taken(model.orElse(null), version, role, fencingNumber));
+        exchange.answer(200, new Order.Accepted(model.orElse(null), version, role, fencingNumber));
     }
 
     private Optional<String> apply(Order order) {
@@ -247,7 +247,7 @@
             }
             default -> {
                 return Optional.of(
-                        "order: found '" + order.order() + "', " + Nearest.expected("" + order.order(), ORDERS));
+                        "order: found '" + order.order() + "', " + NearestName.expected("" + order.order(), ORDERS));
             }
         }
         return Optional.empty();
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/upstream/EngineJob.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/upstream/EngineJob.java
@@ -5,7 +5,7 @@
 import org.wagtaillug.standin.http.Json;
 import org.wagtaillug.standin.http.RequestIds;
 
-/** One completion that an engine works on. Not safe from several threads. */
+/** A completion in progress on an engine. Not thread-safe. */
 final class EngineJob extends Job {
     private final Completion.Call call;
     private final TokenSequence tokens;
@@ -37,7 +37,7 @@
         return nextToken >= call.maxTokens();
     }
 
-    /** Gives one token. */
+    /** Generates one token. */
     void step() {
         String token = tokens.next();
         int offset = nextToken;
@@ -49,7 +49,7 @@
         event(offset, token, isDone() ? "stop" : null);
     }
 
-    /** Ends the answer whole. */
+    /** Ends the answer after the last token. */
     void end() {
         if (!call.stream()) {
             exchange().answer(200, answer(call.resumeFrom(), text.toString(), "stop"));
@@ -60,7 +60,7 @@
         exchange().end();
     }
 
-    /** Ends the answer after a cancel order. */
+    /** Ends the answer after an explicit cancellation. */
     void endCancelled() {
         if (!call.stream()) {
             exchange().answer(200, answer(call.resumeFrom(), text.toString(), "cancelled"));
@@ -85,8 +85,8 @@
     }
 
     private Completion.Answer answer(int offset, String token, String finishReason) {
-        RequestIds sent = exchange().ids(ids());
+        RequestIds answerIds = exchange().ids(ids());
         return new Completion.Answer(
-                sent.attempt(), sent.request(), offset, List.of(new Completion.Choice(token, finishReason)));
+                answerIds.attempt(), answerIds.request(), offset, List.of(new Completion.Choice(token, finishReason)));
     }
 }
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/upstream/Job.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/upstream/Job.java
@@ -3,7 +3,7 @@
 import org.wagtaillug.standin.http.Exchange;
 import org.wagtaillug.standin.http.RequestIds;
 
-/** One request that an upstream works on. */
+/** A request in progress on an upstream. */
 abstract class Job {
     private final Exchange exchange;
     private final RequestIds ids;
@@ -17,7 +17,7 @@
         return exchange;
     }
 
-    /** Returns the ids as they were sent. */
+    /** Returns the ids from the request. */
     RequestIds ids() {
         return ids;
     }
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/upstream/PlainService.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/upstream/PlainService.java
@@ -11,11 +11,11 @@
 import org.wagtaillug.standin.options.ServiceOptions;
 
 /**
- * A plain service that keeps a ledger: each execution counts under its idempotency key, so that a double run shows. The
- * ledger outlives a restart, as a real one would. Work that has begun is done even if the caller goes away.
+ * A plain service that counts the executions of each idempotency key in a ledger, which reveals duplicate executions. Like a
+ * real ledger, it survives a restart. Work that has started is completed even if the caller disconnects.
  */
 public final class PlainService extends Upstream<PlainService.ServiceJob> {
-    /** One call that a service executes. */
+    /** A call in progress on a service. */
     static final class ServiceJob extends Job {
         private final String operation;
         private final WorkCall call;
@@ -28,16 +28,16 @@
     }
 
     /**
-     * What a service gives back.
+     * The output of a service.
      *
-     * @param confirmation differs for every execution
+     * @param confirmation unique for each execution
      */
     record Output(String confirmation) {}
 
     /**
      * The answer to {@code GET /executions}.
      *
-     * @param executions how often each key was executed
+     * @param executions the number of executions of each key
      */
     record Executions(Map<String, Integer> executions) {}
 
@@ -45,10 +45,10 @@
     private final WorkTime workTime;
     private final Map<String, Integer> executions = new TreeMap<>();
     private final Map<String, Output> outputs = new HashMap<>();
-    private final Map<String, List<ServiceJob>> repeats = new HashMap<>();
+    private final Map<String, List<ServiceJob>> pendingRepeats = new HashMap<>();
     private long executionNumber;
 
-    /** Creates a service that has just started with an empty ledger. */
+    /** Creates a service with an empty ledger. */
     public PlainService(String name, ServiceOptions options, Timers timers) {
         super(name, options, timers);
         this.options = options;
@@ -61,7 +61,7 @@
     }
 
     @Override
-    void work(Exchange exchange) {
+    void handleWork(Exchange exchange) {
         if (exchange.method().equals("GET") && exchange.path().equals("/executions")) {
             exchange.answer(200, new Executions(new TreeMap<>(executions)));
             return;
@@ -76,11 +76,11 @@
             return;
         }
         ServiceJob job = new ServiceJob(exchange, String.join("/", exchange.segments()), read.get());
-        if (isRepeat(job)) {
+        if (handledAsRepeat(job)) {
             return;
         }
-        if (offer(job) && checksKeyOf(job)) {
-            repeats.put(job.call.idempotencyKey(), new ArrayList<>());
+        if (offer(job) && deduplicates(job)) {
+            pendingRepeats.put(job.call.idempotencyKey(), new ArrayList<>());
         }
     }
 
@@ -90,18 +90,18 @@
     }
 
     @Override
-    void reset() {
-        for (List<ServiceJob> waiting : repeats.values()) {
+    void clearState() {
+        for (List<ServiceJob> waiting : pendingRepeats.values()) {
             for (ServiceJob job : waiting) {
                 job.exchange().fail(name() + " has restarted");
             }
         }
-        repeats.clear();
+        pendingRepeats.clear();
     }
 
-    /** Answers a key that was executed from the ledger, and lets one that is being executed wait for that answer. */
-    private boolean isRepeat(ServiceJob job) {
-        if (!checksKeyOf(job)) {
+    /** Answers a call whose key was already executed from the ledger, and makes a call whose key is being executed wait for that answer. Returns whether the call was a repeat. */
+    private boolean handledAsRepeat(ServiceJob job) {
+        if (!deduplicates(job)) {
             return false;
         }
         Output first = outputs.get(job.call.idempotencyKey());
@@ -109,7 +109,7 @@
             answer(job, first);
             return true;
         }
-        List<ServiceJob> waiting = repeats.get(job.call.idempotencyKey());
+        List<ServiceJob> waiting = pendingRepeats.get(job.call.idempotencyKey());
         if (waiting == null) {
             return false;
         }
@@ -117,7 +117,7 @@
         return true;
     }
 
-    private boolean checksKeyOf(ServiceJob job) {
+    private boolean deduplicates(ServiceJob job) {
         return options.checksKeys() && job.call.idempotencyKey() != null;
     }
 
@@ -133,11 +133,11 @@
         }
         finish(job);
         answer(job, output);
-        if (!checksKeyOf(job)) {
+        if (!deduplicates(job)) {
             return;
         }
         outputs.put(key, output);
-        for (ServiceJob repeat : repeats.remove(key)) {
+        for (ServiceJob repeat : pendingRepeats.remove(key)) {
             answer(repeat, output);
         }
     }
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/upstream/PrefixCache.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/upstream/PrefixCache.java
@@ -10,17 +10,17 @@
 import java.util.SplittableRandom;
 
 /**
- * The prompt prefixes that an engine holds, the least recently used dropped first, and the events that tell of them,
- * late and with gaps. Not safe from several threads.
+ * The LRU cache of prompt prefixes of an engine, and the events that report its changes. The events are delayed and some of
+ * them are lost. Not thread-safe.
  */
 final class PrefixCache {
-    private static final int EVENTS_KEPT = 4_096;
-    private static final int ONE_LOST_OF = 10;
+    private static final int MAX_EVENTS = 4_096;
+    private static final int EVENT_LOSS_ODDS = 10;
 
     /**
-     * One change of the cache.
+     * A change of the cache.
      *
-     * @param sequence rises by 1 with each change, lost ones included
+     * @param sequence increases by 1 with each change, including lost events
      * @param kind {@code stored} or {@code evicted}
      * @param prefix the prefix's hash
      */
@@ -29,72 +29,72 @@
     /**
      * The answer to {@code GET /cache/events}.
      *
-     * @param next what to ask from the next time
+     * @param next the sequence number to start from in the next call
      */
     record Events(long next, List<Event> events) {}
 
     private record Published(long visibleAt, boolean lost, Event event) {}
 
-    private final int entries;
+    private final int capacity;
     private final long lagMillis;
     private final SplittableRandom random;
-    private final Map<String, byte[]> held = new LinkedHashMap<>(16, 0.75f, true);
+    private final Map<String, byte[]> cached = new LinkedHashMap<>(16, 0.75f, true);
     private final Deque<Published> published = new ArrayDeque<>();
     private long sequence = 1;
 
-    PrefixCache(int entries, long lagMillis, long seed) {
-        this.entries = entries;
+    PrefixCache(int capacity, long lagMillis, long seed) {
+        this.capacity = capacity;
         this.lagMillis = lagMillis;
         this.random = new SplittableRandom(seed);
     }
 
-    /** Returns the cache of a prefix, if held, and marks it as used. */
+    /** Returns the cached content of a prefix, if any, and marks it as used. */
     Optional<byte[]> get(String prefix) {
-        return Optional.ofNullable(held.get(prefix));
+        return Optional.ofNullable(cached.get(prefix));
     }
 
     void put(String prefix, byte[] bytes, long now) {
-        if (entries == 0) {
+        if (capacity == 0) {
             return;
         }
-        if (held.put(prefix, bytes) == null) {
+        if (cached.put(prefix, bytes) == null) {
             publish("stored", prefix, now);
         }
-        while (held.size() > entries) {
-            String oldest = held.keySet().iterator().next();
-            held.remove(oldest);
+        while (cached.size() > capacity) {
+            String oldest = cached.keySet().iterator().next();
+            cached.remove(oldest);
             publish("evicted", oldest, now);
         }
     }
 
-    /** Empties the cache; a restart tells nobody of it. */
+    /** Empties the cache and drops pending events; a restart publishes no events. */
     void clear() {
-        held.clear();
+        cached.clear();
         published.clear();
     }
 
     Events events(long from, long now) {
         List<Event> events = new ArrayList<>();
         long next = Math.max(from, 1);
-        for (Published one : published) {
-            if (one.visibleAt() > now) {
+        for (Published entry : published) {
+            if (entry.visibleAt() > now) {
                 break;
             }
-            if (one.event().sequence() < from) {
+            if (entry.event().sequence() < from) {
                 continue;
             }
-            next = one.event().sequence() + 1;
-            if (!one.lost()) {
-                events.add(one.event());
+            next = entry.event().sequence() + 1;
+            if (!entry.lost()) {
+                events.add(entry.event());
             }
         }
         return new Events(next, events);
     }
 
     private void publish(String kind, String prefix, long now) {
-        boolean lost = random.nextInt(ONE_LOST_OF) == 0;
+        boolean lost = random.nextInt(EVENT_LOSS_ODDS) == 0;
         published.add(new Published(now + lagMillis, lost, new Event(sequence++, kind, prefix)));
-        if (published.size() > EVENTS_KEPT) {
+        if (published.size() > MAX_EVENTS) {
             published.removeFirst();
         }
     }
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/upstream/SlotPool.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/upstream/SlotPool.java
@@ -9,21 +9,21 @@
 import java.util.Set;
 
 /**
- * The slots of one upstream: which jobs run, which wait, and whether it is still cold. Decides only; starting and
- * stopping the work is the caller's. Not safe from several threads.
+ * The slots of one upstream: the running and queued jobs, and whether the upstream is still cold. Only keeps track of the jobs;
+ * the caller starts and stops them. Not thread-safe.
  *
- * @param <J> the kind of job
+ * @param <J> the type of job
  */
 final class SlotPool<J> {
-    /** What becomes of an offered job. */
+    /** The result of offering a job. */
     enum Outcome {
-        /** It runs from now on. */
+        /** The job occupies a slot and runs. */
         RUNS,
-        /** It waits for a slot. */
+        /** The job is queued for a slot. */
         WAITS,
-        /** There is no room to wait; it was not taken. */
+        /** The queue is full; the job was not accepted. */
         FULL,
-        /** It is one more than a cold upstream bears. */
+        /** The job exceeds the limit of a cold upstream and makes it crash. */
         TOO_MUCH_WHILE_COLD
     }
 
@@ -65,16 +65,16 @@
         return Outcome.WAITS;
     }
 
-    /** Counts a job as finished and returns the one that gets its slot. */
+    /** Removes a finished job and returns the queued job that takes its slot. */
     Optional<J> finish(J job) {
         if (!running.remove(job)) {
             return Optional.empty();
         }
         finishedSinceStart++;
-        return next();
+        return startNext();
     }
 
-    /** Takes out a job, running or waiting, and returns the one that gets its slot. */
+    /** Removes a running or queued job and returns the queued job that takes its slot. */
     Optional<J> remove(J job) {
         if (waiting.removeIf(entry -> entry.job().equals(job))) {
             return Optional.empty();
@@ -82,10 +82,10 @@
         if (!running.remove(job)) {
             return Optional.empty();
         }
-        return next();
+        return startNext();
     }
 
-    /** Empties the slots and makes them cold; returns all jobs that ran or waited. */
+    /** Removes all jobs and makes the upstream cold; returns the removed jobs. */
     List<J> restart() {
         List<J> all = new ArrayList<>(running);
         for (Waiting<J> entry : waiting) {
@@ -97,7 +97,7 @@
         return all;
     }
 
-    boolean holds(J job) {
+    boolean isRunning(J job) {
         return running.contains(job);
     }
 
@@ -129,7 +129,7 @@
         return coldLimit > 0 && finishedSinceStart < warmAfter;
     }
 
-    private Optional<J> next() {
+    private Optional<J> startNext() {
         Waiting<J> first = waiting.poll();
         if (first == null) {
             return Optional.empty();
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/upstream/StageServer.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/upstream/StageServer.java
@@ -12,13 +12,13 @@
 import org.wagtaillug.standin.http.Timers;
 import org.wagtaillug.standin.options.StageOptions;
 
-/** A server of a stage pool: encodes, retrieves or reranks. The same input gives the same output on every server. */
+/** A stage pool server that encodes, retrieves or reranks. The output depends on the input only, so all servers agree. */
 public final class StageServer extends Upstream<StageServer.StageJob> {
     private static final int VECTOR_LENGTH = 8;
-    private static final int DOCUMENTS = 5;
-    private static final int LIBRARY_SIZE = 1_000;
+    private static final int DOCUMENT_COUNT = 5;
+    private static final int CORPUS_SIZE = 1_000;
 
-    /** One input that a stage server works on. */
+    /** A call in progress on a stage server. */
     static final class StageJob extends Job {
         private final WorkCall call;
 
@@ -33,7 +33,7 @@
     private final StageOptions options;
     private final WorkTime workTime;
 
-    /** Creates a stage server that has just started. */
+    /** Creates a stage server that executes the stage in its options. */
     public StageServer(String name, StageOptions options, Timers timers) {
         super(name, options, timers);
         this.options = options;
@@ -46,7 +46,7 @@
     }
 
     @Override
-    void work(Exchange exchange) {
+    void handleWork(Exchange exchange) {
         String expected = "/stages/" + options.stage();
         if (!exchange.method().equals("POST") || !exchange.path().equals(expected)) {
             exchange.refuse(404, exchange.method() + " " + exchange.path() + ": expected POST " + expected);
@@ -69,8 +69,8 @@
     }
 
     @Override
-    void reset() {
-        // A stage server keeps nothing between requests.
+    void clearState() {
+        // A stage server has no state besides its jobs.
     }
 
     private synchronized void complete(StageJob job) {
@@ -101,8 +101,8 @@
     private static List<Document> documents(JsonNode input) {
         SplittableRandom random = new SplittableRandom(Hashing.number(Json.text(input)));
         List<Document> documents = new ArrayList<>();
-        for (int index = 0; index < DOCUMENTS; index++) {
-            int number = random.nextInt(LIBRARY_SIZE);
+        for (int index = 0; index < DOCUMENT_COUNT; index++) {
+            int number = random.nextInt(CORPUS_SIZE);
             documents.add(new Document("document-" + number, "Notes of dish " + number, random.nextDouble()));
         }
         return documents;
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/upstream/TokenSequence.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/upstream/TokenSequence.java
@@ -4,7 +4,7 @@
 import java.util.SplittableRandom;
 import org.wagtaillug.standin.http.Hashing;
 
-/** The tokens that follow a prompt: endless, and the same for the same prompt and seed in every engine. */
+/** The infinite sequence of tokens generated for a prompt. It depends on prompt and seed only, so all engines agree. */
 final class TokenSequence {
     private static final List<String> WORDS = List.of(
             "lentils", "rice", "basil", "ginger", "bread", "soup", "salad", "curry", "fish", "lemon", "with", "and",
@@ -14,9 +14,9 @@
     private final SplittableRandom random;
 
     /**
-     * Begins at a token.
+     * Creates a sequence that starts at a given token.
      *
-     * @param from how many tokens to skip
+     * @param from the number of tokens to skip
      */
     TokenSequence(String prompt, long seed, int from) {
         random = new SplittableRandom(Hashing.number(prompt) + seed);
@@ -25,7 +25,7 @@
         }
     }
 
-    /** Returns the next token, a word with a space behind it. */
+    /** Returns the next token, a word followed by a space. */
     String next() {
         return WORDS.get(random.nextInt(WORDS.size())) + " ";
     }
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/upstream/Upstream.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/upstream/Upstream.java
@@ -2,17 +2,17 @@
 
 import java.util.List;
 import java.util.Optional;
+import org.wagtaillug.standin.http.ActiveFaults;
 import org.wagtaillug.standin.http.Exchange;
-import org.wagtaillug.standin.http.FaultGate;
 import org.wagtaillug.standin.http.StandIn;
 import org.wagtaillug.standin.http.Timers;
 import org.wagtaillug.standin.options.UpstreamOptions;
 
 /**
- * What all upstreams share: slots with priorities, the cold start and falling over, restart, the lagging load report
- * and the counters. Every method runs under the object's own lock.
+ * Behaviour common to all upstreams: slots with priorities, cold start, crash on overload while cold, restart, the delayed load
+ * report and the counters. All methods hold the lock of this object.
  *
- * @param <J> the kind of job
+ * @param <J> the type of job
  */
 abstract class Upstream<J extends Job> implements StandIn {
     private static final System.Logger LOGGER = System.getLogger(Upstream.class.getName());
@@ -23,7 +23,7 @@
     private final String name;
     private final UpstreamOptions options;
     private final Timers timers;
-    private final FaultGate faults = new FaultGate();
+    private final ActiveFaults faults = new ActiveFaults();
     private final SlotPool<J> slots;
     private final Counters.Tally tally = new Counters.Tally();
     private long startedAt;
@@ -48,61 +48,61 @@
     }
 
     @Override
-    public final FaultGate faults() {
+    public final ActiveFaults faults() {
         return faults;
     }
 
     @Override
-    public final boolean doesWork(Exchange exchange) {
+    public final boolean allowsAnswerFaults(Exchange exchange) {
         return !exchange.method().equals("GET");
     }
 
     @Override
     public final synchronized void handle(Exchange exchange) {
         if (timers.now() < downUntil) {
-            exchange.refuse(503, name + " restarts");
+            exchange.refuse(503, name + " is restarting");
             return;
         }
         if (exchange.method().equals("GET") && exchange.path().equals("/load")) {
-            exchange.answer(200, describe(load()));
+            exchange.answer(200, withDetails(load()));
             return;
         }
         if (exchange.method().equals("GET") && exchange.path().equals("/counters")) {
             exchange.answer(200, tally.snapshot(slots.peakWhileCold()));
             return;
         }
-        work(exchange);
+        handleWork(exchange);
     }
 
     @Override
     public final synchronized void restart(long downMillis) {
         long now = timers.now();
-        long down = downMillis < 0 ? options.restartMillis() : downMillis;
-        downUntil = now + down;
+        long duration = downMillis < 0 ? options.restartMillis() : downMillis;
+        downUntil = now + duration;
         startedAt = Math.max(downUntil, startedAt + 1);
-        List<J> failed = slots.restart();
-        reset();
+        List<J> interrupted = slots.restart();
+        clearState();
         report();
-        for (J job : failed) {
+        for (J job : interrupted) {
             job.exchange().fail(name + " has restarted");
         }
     }
 
-    /** Answers a call that is neither a report nor a fault. */
-    abstract void work(Exchange exchange);
+    /** Handles a call that is neither a report nor a fault. */
+    abstract void handleWork(Exchange exchange);
 
-    /** Starts the work on a job that has got a slot. */
+    /** Starts a job that has been assigned a slot. */
     abstract void start(J job);
 
-    /** Forgets what does not survive a restart. */
-    abstract void reset();
+    /** Clears the state that does not survive a restart. */
+    abstract void clearState();
 
-    /** Adds what this kind of upstream reports besides. */
-    LoadReport describe(LoadReport plain) {
-        return plain;
+    /** Adds the fields that are specific to this kind of upstream. */
+    LoadReport withDetails(LoadReport common) {
+        return common;
     }
 
-    /** Takes a job if there is room, and answers the call otherwise. */
+    /** Accepts a job if there is capacity, and rejects the call otherwise. Returns whether the job was accepted. */
     final boolean offer(J job) {
         Optional<Integer> priority = priority(job.exchange());
         if (priority.isEmpty()) {
@@ -111,14 +111,14 @@
         }
         switch (slots.offer(job, priority.get())) {
             case RUNS -> start(job);
-            case WAITS -> LOGGER.log(System.Logger.Level.DEBUG, "{0}: a request waits", name);
+            case WAITS -> LOGGER.log(System.Logger.Level.DEBUG, "{0}: request queued", name);
             case FULL -> {
                 tally.refused();
                 job.exchange().refuse(429, name + " is overloaded");
                 return false;
             }
             case TOO_MUCH_WHILE_COLD -> {
-                fallOver(job);
+                crash(job);
                 return false;
             }
             default -> throw new IllegalStateException("unknown outcome");
@@ -127,13 +127,13 @@
         return true;
     }
 
-    /** Counts a job as done and gives its slot to the next. */
+    /** Counts a completed job and assigns its slot to the next queued job. */
     final void finish(J job) {
         tally.executed(job.ids().request());
         slots.finish(job).ifPresent(this::start);
     }
 
-    /** Takes out a job that nobody waits for any more. */
+    /** Removes a job whose caller no longer waits for it. */
     final synchronized void cancel(J job) {
         if (!slots.all().contains(job)) {
             return;
@@ -142,13 +142,13 @@
         slots.remove(job).ifPresent(this::start);
     }
 
-    /** Notes whether a job's prefix was cached. */
-    final void notePrefix(boolean cached) {
+    /** Counts a prefix cache hit or miss. */
+    final void recordPrefixLookup(boolean cached) {
         tally.prefix(cached);
     }
 
     final boolean isRunning(J job) {
-        return slots.holds(job);
+        return slots.isRunning(job);
     }
 
     final SlotPool<J> slots() {
@@ -159,11 +159,11 @@
         return timers;
     }
 
-    private void fallOver(J last) {
-        LOGGER.log(System.Logger.Level.INFO, "{0}: falls over while cold", name);
+    private void crash(J job) {
+        LOGGER.log(System.Logger.Level.INFO, "{0}: crashes, overloaded while cold", name);
         tally.fellOver();
         restart(options.restartMillis());
-        last.exchange().fail(name + " has fallen over");
+        job.exchange().fail(name + " has crashed: overloaded while cold");
     }
 
     private LoadReport load() {
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/upstream/WorkCall.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/upstream/WorkCall.java
@@ -7,22 +7,22 @@
 import org.wagtaillug.standin.http.RequestIds;
 
 /**
- * A call of a stage server or a plain service.
+ * A call to a stage server or a plain service.
  *
  * @param request the request's id
  * @param attempt the attempt's id
- * @param idempotencyKey the idempotency key, or null
- * @param input any JSON
+ * @param idempotencyKey the idempotency key, or null if absent
+ * @param input the input, any JSON value
  */
 record WorkCall(String request, String attempt, String idempotencyKey, JsonNode input) {
-    /** The answer to such a call. */
+    /** The answer to a call. */
     record Answer(String request, String attempt, Object output) {
         Answer(RequestIds ids, Object output) {
             this(ids.request(), ids.attempt(), output);
         }
     }
 
-    /** Reads a call, or tells what is wrong with it. */
+    /** Reads a call; returns an error message if it is invalid. */
     static Either<String, WorkCall> read(Exchange exchange) {
         return Json.read(exchange.body(), WorkCall.class).flatMap(WorkCall::checked);
     }
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/upstream/WorkTime.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/upstream/WorkTime.java
@@ -2,9 +2,9 @@
 
 import java.util.SplittableRandom;
 
-/** How long each piece of work takes: the mean, give or take a fifth. Not safe from several threads. */
+/** Generates processing times, distributed uniformly within 20% of the mean (a fifth). Not thread-safe. */
 final class WorkTime {
-    private static final double SPREAD = 0.2;
+    private static final double RELATIVE_SPREAD = 0.2;
 
     private final long meanMillis;
     private final SplittableRandom random;
@@ -15,7 +15,7 @@
     }
 
     long next() {
-        double factor = 1 - SPREAD + 2 * SPREAD * random.nextDouble();
+        double factor = 1 - RELATIVE_SPREAD + 2 * RELATIVE_SPREAD * random.nextDouble();
         return Math.round(meanMillis * factor);
     }
 }
--- a/wagtaillug-standin/src/test/java/org/wagtaillug/standin/load/FakeNode.java
+++ b/wagtaillug-standin/src/test/java/org/wagtaillug/standin/load/FakeNode.java
@@ -6,8 +6,8 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicInteger;
+import org.wagtaillug.standin.http.ActiveFaults;
 import org.wagtaillug.standin.http.Exchange;
-import org.wagtaillug.standin.http.FaultGate;
 import org.wagtaillug.standin.http.Json;
 import org.wagtaillug.standin.http.StandIn;
 import org.wagtaillug.standin.http.StandInServer;
@@ -19,7 +19,7 @@
 
     private final Timers timers = new Timers();
     private final StandInServer server = new StandInServer(timers);
-    private final FaultGate faults = new FaultGate();
+    private final ActiveFaults faults = new ActiveFaults();
     private final boolean ready;
     final Set<String> requests = ConcurrentHashMap.newKeySet();
     final Set<String> keys = ConcurrentHashMap.newKeySet();
@@ -56,12 +56,12 @@
     }
 
     @Override
-    public FaultGate faults() {
+    public ActiveFaults faults() {
         return faults;
     }
 
     @Override
-    public boolean doesWork(Exchange exchange) {
+    public boolean allowsAnswerFaults(Exchange exchange) {
         return exchange.method().equals("POST");
     }
 
