--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/http/ActiveFaults.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/http/ActiveFaults.java
@@ -56,7 +56,9 @@
         factor = 1;
     }
 
-    /** Returns the fault for the next answer and decrements its count; lost takes precedence over wrong, and wrong over cut. */
+    /**
+     * Returns the fault for the next answer and decrements its count; lost takes precedence over wrong, and wrong over cut.
+     */
     synchronized AnswerFault nextAnswerFault() {
         for (Map.Entry<AnswerFault, Integer> entry : remaining.entrySet()) {
             if (entry.getValue() == 0) {
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/http/Exchange.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/http/Exchange.java
@@ -18,8 +18,8 @@
 import org.eclipse.jetty.util.Fields;
 
 /**
- * One call and its answer. Any thread may answer at any time, in one piece or as a stream of parts. Applies the answer faults,
- * so that stand-ins need no code for them. Thread-safe; no method blocks.
+ * One call and its answer. Any thread may answer at any time, in one piece or as a stream of parts. Applies the answer
+ * faults, so that stand-ins need no code for them. Thread-safe; no method blocks.
  */
 public final class Exchange {
     private static final int PROBE_BYTES = 64;
@@ -94,7 +94,10 @@
         return body;
     }
 
-    /** Returns the ids for the answer: those of the request, or those of another request if {@link AnswerFault#WRONG} applies. */
+    /**
+     * Returns the ids for the answer: those of the request, or those of another request if {@link AnswerFault#WRONG}
+     * applies.
+     */
     public RequestIds ids(RequestIds own) {
         return answerFault == AnswerFault.WRONG ? own.ofOtherRequest() : own;
     }
@@ -250,9 +253,10 @@
     }
 
     /**
-     * Checks whether the caller has closed the connection. Jetty does not read from a connection until its answer is complete,
-     * so a caller that disconnects while its request is queued would go unnoticed and its slot would stay occupied. A caller
-     * sends nothing between the end of the request and the end of the answer, so this read consumes no request data.
+     * Checks whether the caller has closed the connection. Jetty does not read from a connection until its answer is
+     * complete, so a caller that disconnects while its request is queued would go unnoticed and its slot would stay
+     * occupied. A caller sends nothing between the end of the request and the end of the answer, so this read consumes no
+     * request data.
      */
     synchronized void detectDisconnect() {
         if (finished || writing || disconnected) {
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/http/StandIn.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/http/StandIn.java
@@ -12,8 +12,8 @@
     ActiveFaults faults();
 
     /**
-     * Returns whether answer faults apply to a call. They apply to calls that process or change something, not to reports, so
-     * that polling the load does not use up a fault intended for a request.
+     * Returns whether answer faults apply to a call. They apply to calls that process or change something, not to reports,
+     * so that polling the load does not use up a fault intended for a request.
      */
     boolean allowsAnswerFaults(Exchange exchange);
 
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/http/StandInServer.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/http/StandInServer.java
@@ -23,8 +23,8 @@
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
 /**
- * The HTTP server of one process, with one port per stand-in and a shared thread pool. Handles {@code POST /faults} and applies
- * the connection and outage faults before a call reaches its stand-in.
+ * The HTTP server of one process, with one port per stand-in and a shared thread pool. Handles {@code POST /faults} and
+ * applies the connection and outage faults before a call reaches its stand-in.
  *
  * <pre>
  * try (StandInServer server = new StandInServer(timers)) {
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/http/Timers.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/http/Timers.java
@@ -50,7 +50,10 @@
         executor.shutdownNow();
     }
 
-    /** Logs exceptions of a task. The executor never runs a periodic task again after an exception, which would silently freeze a stand-in. */
+    /**
+     * Logs exceptions of a task. The executor never runs a periodic task again after an exception, which would silently
+     * freeze a stand-in.
+     */
     private static Runnable logFailures(Runnable task) {
         return () -> {
             try {
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/platform/VmList.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/platform/VmList.java
@@ -15,7 +15,10 @@
 import org.wagtaillug.standin.http.Timers;
 import org.wagtaillug.standin.options.VmsOptions;
 
-/** The VM list. Changes become visible after the configured delay, in the order of their arrival. The list survives a restart. */
+/**
+ * The VM list. Changes become visible after the configured delay, in the order of their arrival. The list survives a
+ * restart.
+ */
 public final class VmList implements StandIn {
     private record Change(long showsAt, String vm, Optional<Vm> entry) {}
 
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/platform/WeightStore.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/platform/WeightStore.java
@@ -10,7 +10,10 @@
 import org.wagtaillug.standin.http.Timers;
 import org.wagtaillug.standin.options.WeightsOptions;
 
-/** The weight store. It streams pseudo-random bytes that depend on model and version only; all transfers share one bandwidth limit. */
+/**
+ * The weight store. It streams pseudo-random bytes that depend on model and version only; all transfers share one bandwidth
+ * limit.
+ */
 public final class WeightStore implements StandIn {
     private static final long TICK_MILLIS = 20;
     private static final long SECOND_MILLIS = 1_000;
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/upstream/PlainService.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/upstream/PlainService.java
@@ -99,7 +99,10 @@
         pendingRepeats.clear();
     }
 
-    /** Answers a call whose key was already executed from the ledger, and makes a call whose key is being executed wait for that answer. Returns whether the call was a repeat. */
+    /**
+     * Answers a call whose key was already executed from the ledger, and makes a call whose key is being executed wait for
+     * that answer. Returns whether the call was a repeat.
+     */
     private boolean handledAsRepeat(ServiceJob job) {
         if (!deduplicates(job)) {
             return false;
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/upstream/SlotPool.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/upstream/SlotPool.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 
 /**
- * The slots of one upstream: the running and queued jobs, and whether the upstream is still cold. Only keeps track of the jobs;
- * the caller starts and stops them. Not thread-safe.
+ * The slots of one upstream: the running and queued jobs, and whether the upstream is still cold. Only keeps track of the
+ * jobs; the caller starts and stops them. Not thread-safe.
  *
  * @param <J> the type of job
  */
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/upstream/Upstream.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/upstream/Upstream.java
@@ -9,8 +9,8 @@
 import org.wagtaillug.standin.options.UpstreamOptions;
 
 /**
- * Behaviour common to all upstreams: slots with priorities, cold start, crash on overload while cold, restart, the delayed load
- * report and the counters. All methods hold the lock of this object.
+ * Behaviour common to all upstreams: slots with priorities, cold start, crash on overload while cold, restart, the delayed
+ * load report and the counters. All methods hold the lock of this object.
  *
  * @param <J> the type of job
  */
