--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/experiment/CompareCommand.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/experiment/CompareCommand.java
@@ -11,16 +11,16 @@
 import java.util.List;
 import java.util.Map;
 
-/** The subcommand {@code compare}: sets the figures of runs side by side, by policy, with mean and spread. */
-@Parameters(commandDescription = "Sets the figures of several runs side by side, by policy")
+/** The {@code compare} subcommand: prints the figures of several runs by policy, with mean and range. */
+@Parameters(commandDescription = "Compares the figures of several runs by policy")
 public final class CompareCommand {
     @Parameter(names = "--help", help = true, description = "Shows this help")
     private boolean help;
 
-    @Parameter(names = "--dir", required = true, description = "Folder of a run; give it once for each run")
+    @Parameter(names = "--dir", required = true, description = "Folder of a run; repeat the option for each run")
     private List<String> folders = new ArrayList<>();
 
-    /** Tells whether only the help is wanted. */
+    /** Returns whether help was requested. */
     public boolean help() {
         return help;
     }
@@ -28,7 +28,7 @@
     /**
      * Prints the table.
      *
-     * @return nothing, or which run has no report
+     * @return nothing, or an error message if a run has no report
      */
     public Either<String, Void> run(PrintStream out) {
         Map<String, Map<String, Spread>> rows = new LinkedHashMap<>();
@@ -51,7 +51,7 @@
         return Either.right(null);
     }
 
-    /** Mean and extremes of a figure over several runs. */
+    /** The mean, minimum and maximum of a figure over several runs. */
     record Spread(int runs, double sum, double least, double most) {
         static Spread of(double value) {
             return new Spread(1, value, value, value);
@@ -72,7 +72,7 @@
         try {
             return RunFolder.json(file, RunReport.class);
         } catch (IOException missing) {
-            return Either.left(file + ": cannot be read, expected the report of a whole run");
+            return Either.left(file + ": cannot be read, expected the report of a completed run");
         }
     }
 
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/experiment/MetricsText.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/experiment/MetricsText.java
@@ -8,16 +8,16 @@
 import java.util.regex.Pattern;
 
 /**
- * Figures that a node gave in Prometheus's text format.
+ * Metrics of a node in the Prometheus text format.
  *
- * @param samples all samples in their order; lines that are none are left out
+ * @param samples all samples in order; other lines are ignored
  */
 record MetricsText(List<Sample> samples) {
-    private static final String COUNTER = "_total";
+    private static final String COUNTER_SUFFIX = "_total";
     private static final Pattern LINE = Pattern.compile("([A-Za-z_:][A-Za-z0-9_:]*)(?:\\{(.*)})? (\\S+)(?: \\d+)?");
     private static final Pattern LABEL = Pattern.compile("([A-Za-z_][A-Za-z0-9_]*)=\"((?:[^\"\\\\]|\\\\.)*)\"");
 
-    /** One line: a name with labels, and its value. */
+    /** A sample: a name with labels, and its value. */
     record Sample(String name, Map<String, String> labels, double value) {
         String label(String label) {
             return labels.getOrDefault(label, "");
@@ -49,7 +49,7 @@
         };
     }
 
-    /** Returns the sum of all samples of a name. */
+    /** Returns the sum of all samples with a name. */
     double sum(String name) {
         double sum = 0;
         for (Sample sample : samples) {
@@ -59,29 +59,29 @@
     }
 
     /**
-     * Returns what was added since an earlier reading. A counter below its earlier value is that of a process that has
-     * started anew in between; then all its figures count whole.
+     * Returns the differences to an earlier reading. If a counter is below its earlier value, the process has restarted in
+     * between; the current values are then returned unchanged.
      */
     MetricsText since(MetricsText earlier) {
         Map<String, Double> before = new LinkedHashMap<>();
         for (Sample sample : earlier.samples()) {
             before.put(sample.name() + sample.labels(), sample.value());
         }
-        if (anyCounterFell(before)) {
+        if (hasCounterReset(before)) {
             return this;
         }
         List<Sample> added = new ArrayList<>();
         for (Sample sample : samples) {
-            double old = before.getOrDefault(sample.name() + sample.labels(), 0.0);
-            added.add(new Sample(sample.name(), sample.labels(), sample.value() - old));
+            double previous = before.getOrDefault(sample.name() + sample.labels(), 0.0);
+            added.add(new Sample(sample.name(), sample.labels(), sample.value() - previous));
         }
         return new MetricsText(added);
     }
 
-    private boolean anyCounterFell(Map<String, Double> before) {
+    private boolean hasCounterReset(Map<String, Double> before) {
         for (Sample sample : samples) {
-            double old = before.getOrDefault(sample.name() + sample.labels(), 0.0);
-            if (sample.name().endsWith(COUNTER) && sample.value() < old) {
+            double previous = before.getOrDefault(sample.name() + sample.labels(), 0.0);
+            if (sample.name().endsWith(COUNTER_SUFFIX) && sample.value() < previous) {
                 return true;
             }
         }
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/experiment/Plan.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/experiment/Plan.java
@@ -19,27 +19,27 @@
 import org.wagtaillug.standin.platform.Vm;
 
 /**
- * One run, worked out: at which rate, with which faults and actions.
+ * The plan of one run: its rate, faults and actions.
  *
- * @param layout the firm's stand-ins
- * @param base the firm's load
- * @param scenarios what happens, all at once
- * @param askedRate the rate that is asked for; absent for {@link #SHARE_OF_CAPACITY} of the engines' capacity
+ * @param layout the stand-ins of the firm
+ * @param base the load of the firm
+ * @param scenarios the scenarios, which all apply to the same run
+ * @param askedRate the requested rate; absent for {@link #SHARE_OF_CAPACITY} of the engines' capacity
  */
 record Plan(Layout layout, LoadFile base, List<Scenario> scenarios, OptionalDouble askedRate) {
-    /** Which share of the engines' capacity the load takes if no rate is asked for. */
+    /** The share of the engines' capacity that the load uses if no rate is requested. */
     static final double SHARE_OF_CAPACITY = 0.6;
 
-    private static final int EACH_OF = 3;
+    private static final int ENGINE_DIVISOR = 3;
     private static final double MILLIS_PER_SECOND = 1_000;
 
     /**
-     * Returns how many requests a second the engines bear: their slots, divided by the time for which a request of the
-     * mean kind takes one. A kind takes an engine's slot if it names its tokens; no prefix is taken to be cached.
+     * Returns the capacity of the engines in requests per second: their slots, divided by the mean time for which a request
+     * occupies a slot. A kind uses an engine if it specifies the number of tokens; prefixes are assumed not to be cached.
      */
     double capacity() {
         double slots = 0;
-        double slotSecondsOfRequest = 0;
+        double weightedSlotSeconds = 0;
         for (Layout.Entry entry : engines()) {
             slots += ((EngineOptions) entry.options()).slots();
         }
@@ -51,30 +51,30 @@
                 continue;
             }
             double millis = engine.firstTokenMillis() + (double) kind.maxTokens() * engine.tokenMillis();
-            slotSecondsOfRequest += kind.share() * millis / MILLIS_PER_SECOND;
+            weightedSlotSeconds += kind.share() * millis / MILLIS_PER_SECOND;
         }
-        return slots * shares / slotSecondsOfRequest;
+        return slots * shares / weightedSlotSeconds;
     }
 
-    /** Returns the requests a second of this run. */
+    /** Returns the request rate of this run, per second. */
     double rate() {
         return askedRate.orElseGet(() -> SHARE_OF_CAPACITY * capacity());
     }
 
-    /** Returns the timed calls of all scenarios, with times from the start of sending. */
+    /** Returns the timed calls of all scenarios, with times relative to the start of sending. */
     List<LoadFile.TimedCall> calls() {
         List<LoadFile.TimedCall> calls = new ArrayList<>();
         for (Scenario scenario : scenarios) {
             for (Scenario.TargetedFault fault : scenario.faults()) {
-                for (Layout.Entry entry : chosen(fault.on())) {
-                    calls.add(fault.leaving() ? leaving(fault, entry) : switched(fault, entry));
+                for (Layout.Entry entry : targets(fault.on())) {
+                    calls.add(fault.leaving() ? leavingCall(fault, entry) : faultCall(fault, entry));
                 }
             }
         }
         return calls;
     }
 
-    /** Returns the upstreams that the scenarios mark as leaving. */
+    /** Returns the names of the upstreams that the scenarios mark as leaving. */
     Set<String> leaving() {
         Set<String> names = new HashSet<>();
         for (Scenario scenario : scenarios) {
@@ -82,13 +82,13 @@
                 if (!fault.leaving()) {
                     continue;
                 }
-                chosen(fault.on()).forEach(entry -> names.add(entry.name()));
+                targets(fault.on()).forEach(entry -> names.add(entry.name()));
             }
         }
         return names;
     }
 
-    /** Returns a line for each action: the time from the start of sending in milliseconds, and what to do. */
+    /** Returns one line per action: the time since the start of sending in milliseconds, and the action for the script. */
     List<String> actionLines() {
         List<Scenario.Action> actions = new ArrayList<>();
         scenarios.forEach(scenario -> actions.addAll(scenario.actions()));
@@ -96,12 +96,12 @@
         List<String> lines = new ArrayList<>();
         lines.add(base.warmUp().toMillis() + " metrics start");
         for (Scenario.Action action : actions) {
-            lines.add(fromStart(action.at()).toMillis() + " " + action.words(secondDomain()));
+            lines.add(sinceStart(action.at()).toMillis() + " " + action.scriptLine(secondDomain()));
         }
         return lines;
     }
 
-    /** Returns a line for each upstream: its name and its address. */
+    /** Returns one line per upstream: its name and its base URL. */
     List<String> upstreamLines() {
         List<String> lines = new ArrayList<>();
         for (Layout.Entry entry : layout.standIns()) {
@@ -112,8 +112,8 @@
         return lines;
     }
 
-    /** Writes the run's load into the tree of the firm's load file. */
-    void complete(ObjectNode load) {
+    /** Adds the rate, bursts, ledgers and faults of this run to the tree of the firm's load file. */
+    void applyTo(ObjectNode load) {
         load.put("rate", rate());
         for (Scenario scenario : scenarios) {
             LoadFile.Burst burst = scenario.burst();
@@ -121,7 +121,7 @@
                 continue;
             }
             load.putObject("burst")
-                    .put("at", text(fromStart(burst.at())))
+                    .put("at", text(sinceStart(burst.at())))
                     .put("for", text(burst.length()))
                     .put("factor", burst.factor());
         }
@@ -141,7 +141,10 @@
         }
     }
 
-    /** The failure domain that is taken out: the second, so that the first entries of the pools stay. */
+    /**
+     * Returns the failure domain that is taken out of service: the second one, so that the first servers of the pools
+     * remain.
+     */
     String secondDomain() {
         Set<String> domains = new LinkedHashSet<>();
         engines().forEach(entry -> domains.add(entry.domain()));
@@ -149,11 +152,11 @@
         return ordered.get(Math.min(1, ordered.size() - 1));
     }
 
-    private LoadFile.TimedCall switched(Scenario.TargetedFault fault, Layout.Entry entry) {
-        return new LoadFile.TimedCall(fromStart(fault.at()), URI.create(url(entry, "/faults")), "POST", fault.body());
+    private LoadFile.TimedCall faultCall(Scenario.TargetedFault fault, Layout.Entry entry) {
+        return new LoadFile.TimedCall(sinceStart(fault.at()), URI.create(url(entry, "/faults")), "POST", fault.body());
     }
 
-    private LoadFile.TimedCall leaving(Scenario.TargetedFault fault, Layout.Entry entry) {
+    private LoadFile.TimedCall leavingCall(Scenario.TargetedFault fault, Layout.Entry entry) {
         Vm vm = new Vm(
                 entry.name(),
                 "upstream",
@@ -163,16 +166,16 @@
                 entry.options().address(),
                 entry.options().port(),
                 "leaving");
-        String url = url(only(StandInKind.VMS), "/vms/" + entry.name());
+        String url = url(single(StandInKind.VMS), "/vms/" + entry.name());
         return new LoadFile.TimedCall(
-                fromStart(fault.at()), URI.create(url), "PUT", Json.mapper().valueToTree(vm));
+                sinceStart(fault.at()), URI.create(url), "PUT", Json.mapper().valueToTree(vm));
     }
 
-    private List<Layout.Entry> chosen(Scenario.Target target) {
+    private List<Layout.Entry> targets(Scenario.Target target) {
         return switch (target) {
             case ONE_OF_EACH_POOL -> firstOfEachPool();
             case THIRD_OF_ENGINES -> thirdOfEngines();
-            case LOG -> List.of(only(StandInKind.LOG));
+            case LOG -> List.of(single(StandInKind.LOG));
         };
     }
 
@@ -189,7 +192,7 @@
 
     private List<Layout.Entry> thirdOfEngines() {
         List<Layout.Entry> engines = engines();
-        return engines.subList(0, (engines.size() + EACH_OF - 1) / EACH_OF);
+        return engines.subList(0, (engines.size() + ENGINE_DIVISOR - 1) / ENGINE_DIVISOR);
     }
 
     private List<Layout.Entry> engines() {
@@ -202,7 +205,7 @@
         return engines;
     }
 
-    private Layout.Entry only(StandInKind kind) {
+    private Layout.Entry single(StandInKind kind) {
         for (Layout.Entry entry : layout.standIns()) {
             if (entry.kind() == kind) {
                 return entry;
@@ -211,8 +214,8 @@
         throw new IllegalArgumentException("the layout has no " + kind.optionName());
     }
 
-    private Duration fromStart(Duration fromWarm) {
-        return base.warmUp().plus(fromWarm);
+    private Duration sinceStart(Duration sinceWarmUp) {
+        return base.warmUp().plus(sinceWarmUp);
     }
 
     private static String url(Layout.Entry entry, String path) {
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/experiment/PlanCommand.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/experiment/PlanCommand.java
@@ -18,7 +18,7 @@
 import org.wagtaillug.standin.options.UpstreamOptions;
 
 /**
- * The subcommand {@code plan}: writes the load file, the list of actions and the list of upstreams of one run.
+ * The {@code plan} subcommand: writes the load file, the actions and the list of upstreams of one run.
  *
  * <pre>
  * bin/standin plan --firm ramdin --scenario straggler+burst --policy naive --seed 2 --examples examples --out DIR
@@ -33,19 +33,19 @@
     @Parameter(names = "--help", help = true, description = "Shows this help")
     private boolean help;
 
-    @Parameter(names = "--firm", description = "Firm whose layout and load to take: ramdin or himalchuli")
+    @Parameter(names = "--firm", description = "Firm whose layout and load to use: ramdin or himalchuli")
     private String firm = "ramdin";
 
-    @Parameter(names = "--scenario", required = true, description = "Scenario, or several with + between them")
+    @Parameter(names = "--scenario", required = true, description = "Scenario, or several separated by +")
     private String scenario;
 
-    @Parameter(names = "--policy", description = "How the nodes decide: naive or current")
+    @Parameter(names = "--policy", description = "Policy of the nodes: naive or current")
     private String policy = "current";
 
     @Parameter(names = "--seed", description = "Seed of the arrivals and inputs")
     private long seed = 1;
 
-    @Parameter(names = "--rate", description = "Requests a second; by default 60% of what the engines bear")
+    @Parameter(names = "--rate", description = "Requests per second; by default 60% of the engines' capacity")
     private Double rate;
 
     @Parameter(names = "--examples", description = "Folder with the firms' layouts and the experiments")
@@ -54,7 +54,7 @@
     @Parameter(names = "--out", required = true, description = "Folder to write into")
     private String out;
 
-    /** Tells whether only the help is wanted. */
+    /** Returns whether help was requested. */
     public boolean help() {
         return help;
     }
@@ -62,10 +62,10 @@
     /**
      * Writes the run's files.
      *
-     * @return nothing, or what is wrong with the arguments or files
-     * @throws IOException when the files cannot be written
+     * @return nothing, or an error message if arguments or files are invalid
+     * @throws IOException if the files cannot be written
      */
-    public Either<String, Void> run(PrintStream printed) throws IOException {
+    public Either<String, Void> run(PrintStream console) throws IOException {
         if (!FIRMS.contains(firm)) {
             return Either.left("--firm: found '" + firm + "', " + NearestName.expected(firm, FIRMS));
         }
@@ -79,7 +79,7 @@
         if (plan.isLeft()) {
             return Either.left(plan.getLeft());
         }
-        write(plan.get(), printed);
+        write(plan.get(), console);
         return Either.right(null);
     }
 
@@ -107,8 +107,8 @@
             }
             scenarios.add(read.get());
         }
-        OptionalDouble asked = rate == null ? OptionalDouble.empty() : OptionalDouble.of(rate);
-        return Either.right(new Plan(layout.get(), base.get(), scenarios, asked));
+        OptionalDouble askedRate = rate == null ? OptionalDouble.empty() : OptionalDouble.of(rate);
+        return Either.right(new Plan(layout.get(), base.get(), scenarios, askedRate));
     }
 
     private Path loadFile() {
@@ -126,19 +126,19 @@
         return names;
     }
 
-    private void write(Plan plan, PrintStream printed) throws IOException {
+    private void write(Plan plan, PrintStream console) throws IOException {
         Path folder = Path.of(out);
         Files.createDirectories(folder);
         ObjectNode load = YamlFiles.read(loadFile(), ObjectNode.class)
                 .map(read -> read.getOrElse(Json.mapper().createObjectNode()))
                 .getOrElseThrow(problem -> new IOException(problem));
-        plan.complete(load);
+        plan.applyTo(load);
         YamlFiles.write(folder.resolve("load.yaml"), load);
         Files.write(folder.resolve("actions.txt"), plan.actionLines());
         Files.write(folder.resolve("upstreams.txt"), plan.upstreamLines());
         RunFacts facts = facts(plan);
         Files.write(folder.resolve(RunFacts.FILE), Json.write(facts));
-        printed.printf(
+        console.printf(
                 "%s, policy %s, seed %d, firm %s: %.1f requests/s; the engines bear %.1f%n",
                 scenario, policy, seed, firm, facts.rate(), facts.capacity());
     }
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/experiment/RunFacts.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/experiment/RunFacts.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * What is fixed about a run before it begins.
+ * The parameters of a run, fixed before it starts.
  *
- * @param scenario the scenarios' names with + between them
- * @param firm whose layout and load it is
- * @param policy how the nodes decide
+ * @param scenario the names of the scenarios, separated by +
+ * @param firm the firm whose layout and load are used
+ * @param policy the policy of the nodes
  * @param seed the seed of the load
- * @param rate requests a second
- * @param capacity the requests a second that the engines bear
- * @param warmUpMillis for how long requests are sent before they count
- * @param domain the failure domain that the scenarios take out
+ * @param rate requests per second
+ * @param capacity the capacity of the engines in requests per second
+ * @param warmUpMillis the initial period whose requests are not counted
+ * @param domain the failure domain that the scenarios take out of service
  * @param upstreams all upstreams
  */
 record RunFacts(
@@ -28,10 +28,10 @@
     static final String FILE = "plan.json";
 
     /**
-     * One upstream.
+     * The parameters of an upstream.
      *
-     * @param coldLimit how many requests it bears at once while cold; 0 for any number
-     * @param leaves whether the scenarios mark it as leaving
+     * @param coldLimit the maximum number of concurrent requests while cold; 0 for no limit
+     * @param leaves whether a scenario marks it as leaving
      */
     record UpstreamFacts(String name, String pool, String domain, int coldLimit, boolean leaves) {}
 }
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/experiment/RunFolder.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/experiment/RunFolder.java
@@ -15,18 +15,19 @@
 import org.wagtaillug.standin.upstream.Counters;
 
 /**
- * What a run left in its folder.
+ * The content of the folder of a run.
  *
- * @param facts what was fixed before it began
- * @param load what came of the requests
- * @param startedAt when sending began, in Unix milliseconds
- * @param first the nodes' figures at the end of the warm-up
- * @param last the nodes' figures at the end
- * @param counters what the upstreams had counted, by the name of the reading and the upstream
- * @param actions what the script did
- * @param domainOutAt when the log service took the change that took a failure domain out, in Unix milliseconds; empty if
- *     there was none
- * @param digests the digests of the nodes' configuration at the end
+ * @param facts the parameters of the run
+ * @param load the load report
+ * @param startedAt when sending started, in Unix milliseconds
+ * @param first the metrics of the nodes at the end of the warm-up
+ * @param last the metrics of the nodes at the end
+ * @param counters the counters of the upstreams, by name of the reading and of the upstream
+ * @param actions the actions executed by the script
+ * @param domainOutAt when the log service accepted the change that took a failure domain out of service, in Unix
+ *     milliseconds;
+ *     empty if there was none
+ * @param digests the configuration digests of the nodes at the end
  */
 record RunFolder(
         RunFacts facts,
@@ -35,25 +36,25 @@
         Reading first,
         Reading last,
         Map<String, Map<String, Counters>> counters,
-        List<Done> actions,
+        List<ExecutedAction> actions,
         OptionalLong domainOutAt,
         List<String> digests) {
     private static final String COUNTERS = "counters-";
 
     /**
-     * The figures of all nodes that answered.
+     * The metrics of all nodes that answered.
      *
-     * @param atMillis when, in Unix milliseconds
+     * @param atMillis the time of the reading, in Unix milliseconds
      */
     record Reading(long atMillis, Map<String, MetricsText> nodes) {}
 
-    /** An action that the script did, with its times in Unix milliseconds. */
-    record Done(long begunAt, long endedAt, int exitCode, String words) {}
+    /** An action executed by the script, with its start and end in Unix milliseconds. */
+    record ExecutedAction(long begunAt, long endedAt, int exitCode, String words) {}
 
     /**
-     * Reads a run's folder.
+     * Reads the folder of a run.
      *
-     * @return all of it, or which file is missing or wrong
+     * @return its content, or an error message that names a missing or invalid file
      */
     static Either<String, RunFolder> read(Path folder) {
         try {
@@ -79,7 +80,7 @@
                     recordTime(folder.resolve("domain-out.json")),
                     Files.readAllLines(folder.resolve("digests.txt"))));
         } catch (IOException unreadable) {
-            return Either.left(folder + ": not a whole run, cannot read " + unreadable.getMessage());
+            return Either.left(folder + ": incomplete run, cannot read " + unreadable.getMessage());
         } catch (NumberFormatException malformed) {
             return Either.left(folder + ": expected a time in milliseconds: " + malformed.getMessage());
         }
@@ -101,7 +102,7 @@
         return new Reading(at, nodes);
     }
 
-    /** An upstream that restarts answers with an error instead of its counters and is left out. */
+    /** Reads the counters of all upstreams. Omits upstreams that were restarting, as they answer with an error. */
     private static Map<String, Counters> counters(Path folder) throws IOException {
         Map<String, Counters> counters = new TreeMap<>();
         try (var files = Files.newDirectoryStream(folder, "*.json")) {
@@ -128,15 +129,15 @@
         return time.isIntegralNumber() ? OptionalLong.of(time.asLong()) : OptionalLong.empty();
     }
 
-    private static List<Done> actions(Path file) throws IOException {
-        List<Done> actions = new ArrayList<>();
+    private static List<ExecutedAction> actions(Path file) throws IOException {
+        List<ExecutedAction> actions = new ArrayList<>();
         if (!Files.exists(file)) {
             return actions;
         }
         for (String line : Files.readAllLines(file)) {
             String[] parts = line.split(" ", 4);
-            actions.add(
-                    new Done(Long.parseLong(parts[0]), Long.parseLong(parts[1]), Integer.parseInt(parts[2]), parts[3]));
+            actions.add(new ExecutedAction(
+                    Long.parseLong(parts[0]), Long.parseLong(parts[1]), Integer.parseInt(parts[2]), parts[3]));
         }
         return actions;
     }
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/experiment/RunReport.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/experiment/RunReport.java
@@ -4,17 +4,17 @@
 import org.wagtaillug.standin.load.LoadReport;
 
 /**
- * All that came of one run.
+ * The report of one run.
  *
- * @param run what was fixed before it began
- * @param figures the figures by which runs are compared
- * @param load what came of the requests
- * @param stages what each stage cost after the warm-up
- * @param cold how upstreams fared that had just started
- * @param newWork how long upstreams that were to get no new work still got some; empty if there were none
- * @param notRunThatRan how many requests that were refused as not run were executed by an upstream
- * @param nodes what each node used after the warm-up
- * @param digests the digest of each node's configuration at the end, as the tool shows them
+ * @param run the parameters of the run
+ * @param figures the figures used to compare runs
+ * @param load the load report
+ * @param stages the cost of each stage after the warm-up
+ * @param cold the behaviour of cold upstreams
+ * @param newWork how long upstreams still got new work after they were taken out of service; empty if there were none
+ * @param notRunThatRan the number of requests refused as not run that an upstream executed
+ * @param nodes the resource usage of each node after the warm-up
+ * @param digests the configuration digest of each node at the end, as printed by the tool
  */
 record RunReport(
         RunFacts run,
@@ -28,17 +28,17 @@
         List<String> digests) {
     static final String FILE = "report.json";
 
-    /** One figure; {@code name} says its unit. */
+    /** A figure; {@code name} includes its unit. */
     record Figure(String name, double value) {}
 
     /**
-     * What one stage cost.
+     * The cost of one stage.
      *
-     * @param attempts how many attempts ended
-     * @param attemptsPerAnswer attempts of each final answer of the nodes
-     * @param seconds how long all attempts took together
-     * @param wastedSeconds how long those took that did not end completed, lost hedges included
-     * @param wastedShare wasted of all seconds
+     * @param attempts the number of attempts that ended
+     * @param attemptsPerAnswer attempts per final answer of the nodes
+     * @param seconds the total duration of all attempts
+     * @param wastedSeconds the total duration of attempts that did not complete, including losing hedges
+     * @param wastedShare the ratio of wasted to all seconds
      */
     record StageCost(
             String stage,
@@ -49,38 +49,39 @@
             double wastedShare) {}
 
     /**
-     * How upstreams fared that had just started.
+     * The behaviour of cold upstreams.
      *
-     * @param fellOver how often one fell over
-     * @param breaches those that were given more than they bear while cold
-     * @param prefixHits completions that found their prefix cached, as a share of all
+     * @param fellOver the number of crashes caused by overload while cold
+     * @param breaches the upstreams whose cold limit was exceeded
+     * @param prefixHits the share of completions whose prefix was cached
      */
     record ColdStart(long fellOver, List<Breach> breaches, double prefixHits) {}
 
-    /** One upstream that was given more than it bears while cold. */
+    /** An upstream whose cold limit was exceeded. */
     record Breach(String upstream, int coldLimit, long peak) {}
 
     /**
-     * One upstream that was to get no new work.
+     * The last new work of an upstream that was taken out of service.
      *
      * @param why {@code domain-out} or {@code leaving}
-     * @param lastAfterMillis how long after the change it took its last work; negative if before. A failure domain's change
-     *     counts from when the log service took it, a leaving upstream's from when the VM list was told
+     * @param lastAfterMillis the time from the change to the last accepted request; negative if the request came first. The
+     *     time of the change is when the log service accepted it for a failure domain, and when the VM list was updated for
+     *     a leaving upstream
      */
     record NewWork(String upstream, String why, long lastAfterMillis) {}
 
     /**
-     * What one node used.
+     * The resource usage of one node.
      *
-     * @param controlShare processor time of its control thread, as a share of one core
-     * @param processShare processor time of the whole process, as a share of one core
-     * @param linkBytesPerSecond bytes between it and other nodes, both ways
-     * @param heapMegabytes its heap in use at the end, garbage included
+     * @param controlShare CPU time of its control thread, as a share of one core
+     * @param processShare CPU time of the process, as a share of one core
+     * @param linkBytesPerSecond bytes per second exchanged with other nodes, in both directions
+     * @param heapMegabytes its used heap at the end, including garbage
      */
     record NodeCost(
             String node, double controlShare, double processShare, double linkBytesPerSecond, double heapMegabytes) {}
 
-    /** Returns the report as a table for people. */
+    /** Returns the report as a human-readable table. */
     String table() {
         StringBuilder table = new StringBuilder();
         String title = "%n%s, policy %s, seed %d, firm %s: %.1f requests/s, the engines bear %.1f%n%n";
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/experiment/Scenario.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/experiment/Scenario.java
@@ -11,7 +11,7 @@
 import org.wagtaillug.standin.load.LoadFile;
 
 /**
- * What happens in a run, for any firm. All times count from the end of the warm-up:
+ * The events of a run, independent of the firm. All times are relative to the end of the warm-up:
  *
  * <pre>
  * burst: {at: 10s, for: 10s, factor: 5}
@@ -24,9 +24,9 @@
  *   - {at: 10s, run: counters, name: before-back}
  * </pre>
  *
- * @param burst a time of a higher rate; absent for none
- * @param faults what is switched at stand-ins; empty by default
- * @param actions what the script does; empty by default
+ * @param burst a period with a higher rate; absent for none
+ * @param faults the faults to inject into stand-ins; empty by default
+ * @param actions the actions of the script; empty by default
  */
 record Scenario(LoadFile.Burst burst, List<TargetedFault> faults, List<Action> actions) {
     Scenario {
@@ -34,7 +34,7 @@
         actions = actions == null ? List.of() : List.copyOf(actions);
     }
 
-    /** Which stand-ins of a layout a fault is for. */
+    /** The stand-ins of a layout that a fault applies to. */
     enum Target {
         /** The first server of each pool. */
         @JsonProperty("one-of-each-pool")
@@ -47,68 +47,68 @@
         LOG
     }
 
-    /** What the script can do. */
+    /** The actions that the script supports. */
     enum Work {
-        /** Takes the layout's second failure domain out of service by the tool. */
+        /** Takes the layout's second failure domain out of service with the tool. */
         @JsonProperty("domain-out")
         DOMAIN_OUT("domain-out"),
-        /** Brings it back. */
+        /** Puts that failure domain back into service. */
         @JsonProperty("domain-back")
         DOMAIN_BACK("domain-back"),
-        /** Two operators publish different contracts under one key at once, at two nodes. */
+        /** Two operators concurrently publish different contracts with the same key at two nodes. */
         @JsonProperty("race")
         RACE("race"),
-        /** Kills a node. */
+        /** Kills a node with SIGKILL. */
         @JsonProperty("kill-node")
         KILL_NODE("kill-node"),
-        /** Tells a node to end. */
+        /** Terminates a node with SIGTERM. */
         @JsonProperty("terminate-node")
         TERMINATE_NODE("terminate-node"),
-        /** Tells a node to end and starts it again. */
+        /** Terminates a node with SIGTERM and starts it again. */
         @JsonProperty("restart-node")
         RESTART_NODE("restart-node"),
-        /** Keeps what the upstreams have counted so far. */
+        /** Saves the current counters of the upstreams. */
         @JsonProperty("counters")
         COUNTERS("counters");
 
-        private final String word;
+        private final String scriptName;
 
-        Work(String word) {
-            this.word = word;
+        Work(String scriptName) {
+            this.scriptName = scriptName;
         }
 
-        /** The word that the script knows it by. */
-        String word() {
-            return word;
+        /** Returns the name of the action in the script. */
+        String scriptName() {
+            return scriptName;
         }
     }
 
     /**
-     * A fault of one or several stand-ins.
+     * A fault in one or more stand-ins.
      *
-     * @param at when, from the end of the warm-up
-     * @param on which stand-ins
-     * @param body what to post to their faults; absent when leaving
-     * @param leaving whether they are marked as leaving in the VM list instead
+     * @param at the time, relative to the end of the warm-up
+     * @param on the affected stand-ins
+     * @param body the body of {@code POST /faults}; absent if {@code leaving}
+     * @param leaving whether the stand-ins are marked as leaving in the VM list instead
      */
     record TargetedFault(Duration at, Target on, JsonNode body, boolean leaving) {}
 
     /**
-     * Something that the script does.
+     * An action of the script.
      *
-     * @param at when, from the end of the warm-up
-     * @param run what
-     * @param node the number of the node that it is done to, from 1
-     * @param name what the counters are kept as
+     * @param at the time, relative to the end of the warm-up
+     * @param run the action
+     * @param node the number of the affected node, from 1
+     * @param name the name under which the counters are saved
      */
     record Action(Duration at, Work run, Integer node, String name) {
-        /** Returns what is done to what, in words for the script. */
-        String words(String domain) {
+        /** Returns the action and its argument as the script reads them. */
+        String scriptLine(String domain) {
             return switch (run) {
-                case DOMAIN_OUT, DOMAIN_BACK -> run.word() + " " + domain;
-                case RACE -> run.word();
-                case KILL_NODE, TERMINATE_NODE, RESTART_NODE -> run.word() + " " + node;
-                case COUNTERS -> run.word() + " " + name;
+                case DOMAIN_OUT, DOMAIN_BACK -> run.scriptName() + " " + domain;
+                case RACE -> run.scriptName();
+                case KILL_NODE, TERMINATE_NODE, RESTART_NODE -> run.scriptName() + " " + node;
+                case COUNTERS -> run.scriptName() + " " + name;
             };
         }
 
@@ -134,8 +134,8 @@
     /**
      * Reads a scenario.
      *
-     * @param nodes how many nodes there are
-     * @return the scenario, or all that is wrong with the file, one problem a line
+     * @param nodes the number of nodes
+     * @return the scenario, or all problems of the file, one per line
      */
     static Either<String, Scenario> read(Path file, int nodes) {
         return YamlFiles.read(file, Scenario.class).flatMap(read -> {
@@ -151,8 +151,8 @@
         List<String> problems = new ArrayList<>();
         for (int index = 0; index < faults.size(); index++) {
             TargetedFault fault = faults.get(index);
-            boolean whole = fault.at() != null && fault.on() != null && fault.leaving() == (fault.body() == null);
-            if (!whole) {
+            boolean valid = fault.at() != null && fault.on() != null && fault.leaving() == (fault.body() == null);
+            if (!valid) {
                 problems.add("faults[" + index + "]: expected at, on and either body or leaving");
             }
         }
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/experiment/Summary.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/experiment/Summary.java
@@ -10,7 +10,7 @@
 import org.wagtaillug.standin.load.LoadReport;
 import org.wagtaillug.standin.upstream.Counters;
 
-/** Works out a run's report from what it left behind. */
+/** Computes the report of a run from the content of its folder. */
 final class Summary {
     private static final String COMPLETED = "Completed";
     private static final String END = "end";
@@ -28,10 +28,10 @@
     }
 
     private RunReport report() {
-        Map<String, MetricsText> added = addedByNode();
-        List<RunReport.StageCost> stages = stages(added);
+        Map<String, MetricsText> deltas = metricsSinceWarmUp();
+        List<RunReport.StageCost> stages = stages(deltas);
         RunReport.ColdStart cold = cold();
-        List<RunReport.NodeCost> nodes = nodes(added);
+        List<RunReport.NodeCost> nodes = nodes(deltas);
         long notRunThatRan = notRunThatRan();
         return new RunReport(
                 folder.facts(),
@@ -45,21 +45,21 @@
                 folder.digests());
     }
 
-    /** What each node has added since the warm-up; a node that was gone at the end is left out. */
-    private Map<String, MetricsText> addedByNode() {
-        Map<String, MetricsText> added = new TreeMap<>();
+    /** Returns the metrics of each node since the warm-up, without nodes that did not answer at the end. */
+    private Map<String, MetricsText> metricsSinceWarmUp() {
+        Map<String, MetricsText> deltas = new TreeMap<>();
         MetricsText none = new MetricsText(List.of());
         folder.last().nodes().forEach((node, last) -> {
             MetricsText first = folder.first().nodes().getOrDefault(node, none);
-            added.put(node, last.since(first));
+            deltas.put(node, last.since(first));
         });
-        return added;
+        return deltas;
     }
 
-    private static List<RunReport.StageCost> stages(Map<String, MetricsText> added) {
+    private static List<RunReport.StageCost> stages(Map<String, MetricsText> deltas) {
         Map<String, StageTally> tallies = new TreeMap<>();
         double answers = 0;
-        for (MetricsText node : added.values()) {
+        for (MetricsText node : deltas.values()) {
             answers += node.sum("wagtaillug_answers_total");
             for (MetricsText.Sample sample : node.samples()) {
                 String stage = sample.label("stage");
@@ -94,7 +94,7 @@
 
         private RunReport.StageCost cost(String stage, double answers) {
             return new RunReport.StageCost(
-                    stage, attempts, share(attempts, answers), seconds, wasted, share(wasted, seconds));
+                    stage, attempts, ratio(attempts, answers), seconds, wasted, ratio(wasted, seconds));
         }
     }
 
@@ -117,10 +117,10 @@
                 breaches.add(new RunReport.Breach(upstream.name(), upstream.coldLimit(), peak));
             }
         }
-        return new RunReport.ColdStart(fellOver, breaches, share(hits, prompts));
+        return new RunReport.ColdStart(fellOver, breaches, ratio(hits, prompts));
     }
 
-    /** Requests that callers were told had not run, though an upstream executed a stage of them. */
+    /** Returns the number of requests refused as not run although an upstream executed one of their stages. */
     private long notRunThatRan() {
         Set<String> executed = new HashSet<>();
         for (Counters counters : folder.counters().getOrDefault(END, Map.of()).values()) {
@@ -141,12 +141,12 @@
             boolean domainIsOut = upstream.domain().equals(folder.facts().domain())
                     && folder.domainOutAt().isPresent();
             Counters out = beforeBack.get(upstream.name());
-            if (domainIsOut && hasWorked(out)) {
+            if (domainIsOut && gotWork(out)) {
                 work.add(newWork(
                         upstream, "domain-out", out, folder.domainOutAt().getAsLong()));
             }
             Counters left = afterLeaving.get(upstream.name());
-            if (upstream.leaves() && hasWorked(left)) {
+            if (upstream.leaves() && gotWork(left)) {
                 work.add(newWork(upstream, "leaving", left, leavingAt(upstream.name())));
             }
         }
@@ -157,7 +157,7 @@
         return new RunReport.NewWork(upstream.name(), why, counters.lastTakenAt() - at);
     }
 
-    private static boolean hasWorked(Counters counters) {
+    private static boolean gotWork(Counters counters) {
         return counters != null && counters.lastTakenAt() > 0;
     }
 
@@ -170,17 +170,17 @@
         return folder.startedAt();
     }
 
-    private List<RunReport.NodeCost> nodes(Map<String, MetricsText> added) {
+    private List<RunReport.NodeCost> nodes(Map<String, MetricsText> deltas) {
         double seconds = (folder.last().atMillis() - folder.first().atMillis()) / MILLIS_PER_SECOND;
         List<RunReport.NodeCost> costs = new ArrayList<>();
-        for (Map.Entry<String, MetricsText> entry : added.entrySet()) {
+        for (Map.Entry<String, MetricsText> entry : deltas.entrySet()) {
             MetricsText used = entry.getValue();
             MetricsText last = folder.last().nodes().get(entry.getKey());
             costs.add(new RunReport.NodeCost(
                     entry.getKey(),
-                    share(used.sum("wagtaillug_control_cpu_seconds"), seconds),
-                    share(used.sum("wagtaillug_process_cpu_seconds"), seconds),
-                    share(used.sum("wagtaillug_link_bytes"), seconds),
+                    ratio(used.sum("wagtaillug_control_cpu_seconds"), seconds),
+                    ratio(used.sum("wagtaillug_process_cpu_seconds"), seconds),
+                    ratio(used.sum("wagtaillug_link_bytes"), seconds),
                     last.sum("wagtaillug_heap_bytes") / BYTES_PER_MEGABYTE));
         }
         return costs;
@@ -208,7 +208,7 @@
         }
         List<RunReport.Figure> figures = new ArrayList<>();
         add(figures, "served in time, % of offered", total.attainment() * 100);
-        add(figures, "worth served, % of offered", share(total.worthServed(), total.worthOffered()) * 100);
+        add(figures, "worth served, % of offered", ratio(total.worthServed(), total.worthOffered()) * 100);
         add(figures, "late", total.late());
         add(figures, "lost", total.lost());
         add(figures, "refused", total.refused());
@@ -222,7 +222,7 @@
         add(figures, "between tokens p95, ms", total.betweenTokensMillis().p95());
         add(figures, "attempts per answer", attempts);
         add(figures, "stage seconds", seconds);
-        add(figures, "wasted stage seconds, %", share(wasted, seconds) * 100);
+        add(figures, "wasted stage seconds, %", ratio(wasted, seconds) * 100);
         add(figures, "fell over while cold", cold.fellOver());
         add(figures, "given too much while cold", cold.breaches().size());
         add(figures, "prefixes found cached, %", cold.prefixHits() * 100);
@@ -235,7 +235,7 @@
         figures.add(new RunReport.Figure(name, value));
     }
 
-    private static double share(double part, double whole) {
+    private static double ratio(double part, double whole) {
         return whole == 0 ? 0 : part / whole;
     }
 }
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/experiment/SummaryCommand.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/experiment/SummaryCommand.java
@@ -9,8 +9,8 @@
 import java.nio.file.Path;
 import org.wagtaillug.standin.http.Json;
 
-/** The subcommand {@code summary}: makes one report and table out of what a run left in its folder. */
-@Parameters(commandDescription = "Makes the report and the table of one run of an experiment")
+/** The {@code summary} subcommand: creates the report and the table of a run from the content of its folder. */
+@Parameters(commandDescription = "Creates the report and the table of one run of an experiment")
 public final class SummaryCommand {
     @Parameter(names = "--help", help = true, description = "Shows this help")
     private boolean help;
@@ -18,7 +18,7 @@
     @Parameter(names = "--dir", required = true, description = "Folder of the run")
     private String folder;
 
-    /** Tells whether only the help is wanted. */
+    /** Returns whether help was requested. */
     public boolean help() {
         return help;
     }
@@ -26,8 +26,8 @@
     /**
      * Writes the report and prints the table.
      *
-     * @return nothing, or what is wrong with the folder
-     * @throws IOException when the report cannot be written
+     * @return nothing, or an error message if the folder is invalid
+     * @throws IOException if the report cannot be written
      */
     public Either<String, Void> run(PrintStream out) throws IOException {
         Path path = Path.of(folder);
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/experiment/YamlFiles.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/experiment/YamlFiles.java
@@ -13,13 +13,13 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.Duration;
-import org.wagtaillug.standin.load.DurationReader;
+import org.wagtaillug.standin.load.DurationDeserializer;
 
-/** Reads and writes YAML files with member names in snake case and durations as people write them. */
+/** Reads and writes YAML files with member names in snake case and durations such as {@code 250ms}. */
 final class YamlFiles {
     private static final ObjectMapper YAML = YAMLMapper.builder()
             .propertyNamingStrategy(PropertyNamingStrategies.SNAKE_CASE)
-            .addModule(new SimpleModule().addDeserializer(Duration.class, new DurationReader()))
+            .addModule(new SimpleModule().addDeserializer(Duration.class, new DurationDeserializer()))
             .enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION)
             .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
             .build();
@@ -29,7 +29,7 @@
     /**
      * Reads a file.
      *
-     * @return its content, nothing for a file that holds only comments, or what is wrong with it
+     * @return its content, nothing for a file that contains only comments, or an error message
      */
     static <T> Either<String, Option<T>> read(Path file, Class<T> type) {
         if (!Files.isReadable(file)) {
@@ -40,8 +40,8 @@
                 return Either.right(Option.none());
             }
             return Either.right(Option.of(YAML.readValue(parser, type)));
-        } catch (JsonProcessingException wrong) {
-            return Either.left(file + ": " + wrong.getOriginalMessage());
+        } catch (JsonProcessingException invalid) {
+            return Either.left(file + ": " + invalid.getOriginalMessage());
         } catch (IOException unreadable) {
             return Either.left(file + ": cannot be read: " + unreadable.getMessage());
         }
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/experiment/package-info.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/experiment/package-info.java
@@ -1,7 +1,7 @@
 /**
- * What stands around one run of an experiment: {@link org.wagtaillug.standin.experiment.PlanCommand} makes the load file
- * and the list of actions out of a firm's layout, its load and scenarios; {@link
- * org.wagtaillug.standin.experiment.SummaryCommand} makes one report out of what a run left behind; {@link
- * org.wagtaillug.standin.experiment.CompareCommand} sets the reports of two policies side by side.
+ * Preparation and evaluation of experiment runs. {@link org.wagtaillug.standin.experiment.PlanCommand} creates the load file
+ * and the list of actions from the layout and load of a firm and the scenarios. {@link
+ * org.wagtaillug.standin.experiment.SummaryCommand} creates the report of a run from its folder. {@link
+ * org.wagtaillug.standin.experiment.CompareCommand} compares the reports of several runs by policy.
  */
 package org.wagtaillug.standin.experiment;
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/load/AnswerCheck.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/load/AnswerCheck.java
@@ -6,8 +6,8 @@
 import org.wagtaillug.standin.http.Json;
 
 /**
- * Checks one answer, streamed or not: that it belongs to the request, that token offsets rise by 1 from 0 with none
- * twice, and that as many came as the end says. Not safe from several threads.
+ * Checks one answer, streamed or not: it must carry the ids of the request, token offsets must increase by 1 from 0 without
+ * duplicates, and their number must match the end event. Not thread-safe.
  */
 final class AnswerCheck {
     private static final int SERVED = 0;
@@ -15,7 +15,7 @@
     private final String request;
     private int nextToken;
     private boolean wrongRequest;
-    private boolean gap;
+    private boolean incomplete;
     private boolean doubled;
     private JsonNode end;
 
@@ -23,8 +23,8 @@
         this.request = request;
     }
 
-    /** Takes one event of a stream; tells whether it was a token. */
-    boolean event(String name, String data) {
+    /** Processes one event of a stream; returns whether it was a token. */
+    boolean onEvent(String name, String data) {
         JsonNode node = parse(data);
         if (name.equals("end")) {
             end = node;
@@ -39,13 +39,13 @@
             doubled = true;
             return true;
         }
-        gap |= offset > nextToken;
+        incomplete |= offset > nextToken;
         nextToken = offset + 1;
         return true;
     }
 
-    /** Returns what came of a streamed answer that has ended without a broken connection. */
-    Outcome streamed(boolean inTime) {
+    /** Returns the outcome of a streamed answer whose connection ended normally. */
+    Outcome streamOutcome(boolean inTime) {
         if (end == null) {
             return lost("stream without end");
         }
@@ -55,40 +55,40 @@
         if (end.has("request")) {
             checkRequest(end);
         }
-        gap |= end.path("tokens").asInt(-1) != nextToken;
-        return whole(inTime);
+        incomplete |= end.path("tokens").asInt(-1) != nextToken;
+        return completeOutcome(inTime);
     }
 
-    /** Returns what came of an answer in one piece. */
-    Outcome answered(int status, byte[] body, boolean inTime) {
+    /** Returns the outcome of an answer that was not streamed. */
+    Outcome responseOutcome(int status, byte[] body, boolean inTime) {
         JsonNode node = parse(new String(body, StandardCharsets.UTF_8));
         boolean served = status == 200 && node.path("result_code").asInt(-1) == SERVED;
         if (!served) {
             return refused(node, "http-" + status);
         }
         checkRequest(node);
-        gap |= !node.hasNonNull("output");
-        return whole(inTime);
+        incomplete |= !node.hasNonNull("output");
+        return completeOutcome(inTime);
     }
 
     boolean wrongRequest() {
         return wrongRequest;
     }
 
-    /** Tells whether tokens were skipped, or an answer that was called whole is not. */
+    /** Returns whether tokens were skipped, or an answer reported as complete is not. */
     boolean tooShort() {
-        return gap;
+        return incomplete;
     }
 
     boolean doubled() {
         return doubled;
     }
 
-    private Outcome whole(boolean inTime) {
+    private Outcome completeOutcome(boolean inTime) {
         if (wrongRequest) {
             return lost("another request's answer");
         }
-        if (gap || doubled) {
+        if (incomplete || doubled) {
             return lost("not whole");
         }
         return new Outcome.Served(inTime);
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/load/Arrival.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/load/Arrival.java
@@ -1,17 +1,17 @@
 package org.wagtaillug.standin.load;
 
 /**
- * One request that is to be sent.
+ * A scheduled request.
  *
- * @param number its place in the run, from 0
- * @param atNanos when to send it, from the start of the measured time; below 0 while warming up
- * @param customer whose it is
- * @param kind what it is
- * @param seed the seed of its input and ids
+ * @param number its position in the run, from 0
+ * @param atNanos the time to send it, in nanoseconds since sending started, warm-up included
+ * @param customer the customer that sends it
+ * @param kind its kind
+ * @param seed the seed for its input and ids
  */
 record Arrival(int number, long atNanos, LoadFile.Customer customer, LoadFile.Kind kind, long seed) {
-    /** Tells whether it comes before the measured time. */
-    boolean warmsUp() {
+    /** Returns whether the send time is negative, which {@link Schedule} does not produce. */
+    boolean isBeforeStart() {
         return atNanos < 0;
     }
 }
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/load/Balancer.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/load/Balancer.java
@@ -10,21 +10,21 @@
 import org.eclipse.jetty.client.HttpClient;
 import org.eclipse.jetty.http.HttpStatus;
 
-/** Chooses nodes in turn, as the platform's balancer does: only those whose {@code /readyz} answers 200. */
+/** Selects nodes round-robin, like the platform's load balancer: only those whose {@code /readyz} answers 200. */
 final class Balancer {
     private static final long PROBE_TIMEOUT_MILLIS = 1_000;
 
     private final HttpClient client;
     private final List<URI> nodes;
     private final Set<URI> ready = ConcurrentHashMap.newKeySet();
-    private final AtomicInteger turn = new AtomicInteger();
+    private final AtomicInteger nextIndex = new AtomicInteger();
 
     Balancer(HttpClient client, List<URI> nodes) {
         this.client = client;
         this.nodes = nodes;
     }
 
-    /** Asks all nodes whether they are ready; the answers show when they come. */
+    /** Probes the readiness of all nodes asynchronously. */
     void probe() {
         for (URI node : nodes) {
             client.newRequest(node.resolve("/readyz"))
@@ -39,25 +39,25 @@
         }
     }
 
-    /** Returns the next ready node; {@code avoided} only if there is no other. */
+    /** Returns the next ready node; returns {@code avoided} only if no other node is ready. */
     Optional<URI> next(Optional<URI> avoided) {
-        Optional<URI> other = nextOf(avoided);
-        return other.isPresent() ? other : nextOf(Optional.empty());
+        Optional<URI> preferred = nextOf(avoided);
+        return preferred.isPresent() ? preferred : nextOf(Optional.empty());
     }
 
     private Optional<URI> nextOf(Optional<URI> avoided) {
         for (int tried = 0; tried < nodes.size(); tried++) {
-            URI node = nodes.get(Math.floorMod(turn.getAndIncrement(), nodes.size()));
-            boolean wanted = avoided.isEmpty() || !avoided.get().equals(node);
-            if (wanted && ready.contains(node)) {
+            URI node = nodes.get(Math.floorMod(nextIndex.getAndIncrement(), nodes.size()));
+            boolean eligible = avoided.isEmpty() || !avoided.get().equals(node);
+            if (eligible && ready.contains(node)) {
                 return Optional.of(node);
             }
         }
         return Optional.empty();
     }
 
-    /** Takes out a node that cannot be connected to, until its next probe. */
-    void unreachable(URI node) {
+    /** Marks a node as not ready after a failed connection, until its next successful probe. */
+    void markUnreachable(URI node) {
         ready.remove(node);
     }
 
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/load/Call.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/load/Call.java
@@ -19,19 +19,19 @@
 import org.eclipse.jetty.http.HttpHeader;
 import org.eclipse.jetty.http.HttpMethod;
 
-/** One request on its way: sends it, follows the answer and tells the recorder what came of it. */
+/** A request in flight: sends it, processes the answer and reports the outcome to the recorder. */
 final class Call implements Response.Listener {
-    /** How long after its deadline a request is given up. */
+    /** Time after its deadline at which a request times out on the client side. */
     static final long GRACE_MILLIS = 3_000;
 
-    private static final int LARGEST_BODY = 4 * 1024 * 1024;
+    private static final int MAX_BODY_BYTES = 4 * 1024 * 1024;
     private static final int RANDOM_BITS_OF_VERSION = 12;
     private static final int TIME_SHIFT = 16;
     private static final long VERSION_SEVEN = 0x7000;
     private static final long VARIANT = 0x8000_0000_0000_0000L;
     private static final long VARIANT_MASK = 0x3FFF_FFFF_FFFF_FFFFL;
 
-    private final Surroundings surroundings;
+    private final Context context;
     private final Recorder recorder;
     private final Consumer<Call> ended;
     private final Arrival arrival;
@@ -49,21 +49,21 @@
     private boolean retried;
 
     /**
-     * What all requests of a run are sent with.
+     * The collaborators shared by all requests of a run.
      *
-     * @param timer sends again what may be retried after some time
+     * @param timer schedules retries
      */
-    record Surroundings(HttpClient client, Balancer balancer, Recorder recorder, ScheduledExecutorService timer) {}
+    record Context(HttpClient client, Balancer balancer, Recorder recorder, ScheduledExecutorService timer) {}
 
     /**
-     * Prepares a request.
+     * Creates a request that has not been sent.
      *
-     * @param ended is told when all is over
-     * @param due when it is due
+     * @param ended called when the request has ended, including its retry
+     * @param due the scheduled send time
      */
-    Call(Surroundings surroundings, Arrival arrival, Consumer<Call> ended, Due due) {
-        this.surroundings = surroundings;
-        this.recorder = surroundings.recorder();
+    Call(Context context, Arrival arrival, Consumer<Call> ended, Due due) {
+        this.context = context;
+        this.recorder = context.recorder();
         this.ended = ended;
         this.arrival = arrival;
         this.dueNanos = due.nanos();
@@ -76,31 +76,30 @@
     }
 
     /**
-     * When a request is due.
+     * The scheduled send time of a request.
      *
      * @param nanos on the clock of {@link System#nanoTime}
-     * @param unixMillis on the wall clock, for its ids
+     * @param unixMillis on the wall clock, for the request's ids
      */
     record Due(long nanos, long unixMillis) {}
 
-    /** Sends it for the first time. */
+    /** Sends the first attempt. */
     void send(long nowNanos) {
         sentNanos = nowNanos;
         send(Optional.empty(), nowNanos);
     }
 
     private void send(Optional<URI> avoided, long nowNanos) {
-        URI chosen = surroundings.balancer().next(avoided).orElse(null);
+        URI chosen = context.balancer().next(avoided).orElse(null);
         if (chosen == null) {
             end(new Outcome.Lost("no node ready"), nowNanos);
             return;
         }
         node = chosen;
-        recorder.given(chosen.toString());
+        recorder.dispatched(chosen.toString());
         LoadFile.Kind kind = arrival.kind();
         long deadlineMillis = kind.deadline().toMillis();
-        Request request = surroundings
-                .client()
+        Request request = context.client()
                 .newRequest(chosen.resolve("/v1/templates/" + kind.template() + "/requests"))
                 .method(HttpMethod.POST)
                 .headers(headers -> {
@@ -126,12 +125,12 @@
     @Override
     public void onContent(Response response, ByteBuffer bytes) {
         if (eventStream) {
-            parser.take(bytes);
+            parser.parse(bytes);
             return;
         }
         byte[] part = new byte[bytes.remaining()];
         bytes.get(part);
-        if (content.size() + part.length <= LARGEST_BODY) {
+        if (content.size() + part.length <= MAX_BODY_BYTES) {
             content.writeBytes(part);
         }
     }
@@ -145,15 +144,15 @@
         }
         boolean inTime = now - sentNanos <= arrival.kind().deadline().toNanos();
         if (eventStream) {
-            end(check.streamed(inTime), now);
+            end(check.streamOutcome(inTime), now);
             return;
         }
-        end(check.answered(result.getResponse().getStatus(), content.toByteArray(), inTime), now);
+        end(check.responseOutcome(result.getResponse().getStatus(), content.toByteArray(), inTime), now);
     }
 
     private void failed(Throwable failure, long now) {
         if (failure instanceof ConnectException) {
-            surroundings.balancer().unreachable(node);
+            context.balancer().markUnreachable(node);
             send(Optional.empty(), now);
             return;
         }
@@ -162,7 +161,7 @@
 
     private void event(String name, String data) {
         long now = System.nanoTime();
-        if (!check.event(name, data)) {
+        if (!check.onEvent(name, data)) {
             return;
         }
         if (lastTokenNanos == 0) {
@@ -174,11 +173,11 @@
     }
 
     private void end(Outcome outcome, long now) {
-        if (mayBeRetried(outcome)) {
+        if (isRetryable(outcome)) {
             retried = true;
             recorder.retried();
             long wait = outcome instanceof Outcome.Refused refusal ? refusal.retryAfterMillis() : 0;
-            surroundings.timer().schedule(this::sendAgain, wait, TimeUnit.MILLISECONDS);
+            context.timer().schedule(this::retry, wait, TimeUnit.MILLISECONDS);
             return;
         }
         String sentTo = node == null ? "" : node.toString();
@@ -186,8 +185,8 @@
         ended.accept(this);
     }
 
-    /** A caller with an idempotency key asks once more when it got no answer, or a refusal that names a time to wait. */
-    private boolean mayBeRetried(Outcome outcome) {
+    /** Like a caller with an idempotency key, retries once after a missing answer or a refusal with a retry delay. */
+    private boolean isRetryable(Outcome outcome) {
         if (key.isEmpty() || retried) {
             return false;
         }
@@ -198,7 +197,7 @@
         };
     }
 
-    private void sendAgain() {
+    private void retry() {
         check = new AnswerCheck(requestId);
         parser = new EventStreamParser(this::event);
         content = new ByteArrayOutputStream();
@@ -206,10 +205,10 @@
         send(Optional.of(node), System.nanoTime());
     }
 
-    /** A UUID of version 7: the time in front, so that a node can tell how old an idempotency key is. */
+    /** Returns a version 7 UUID. It starts with the time, which lets a node determine the age of an idempotency key. */
     private static String timeOrderedUuid(long unixMillis, SplittableRandom random) {
-        long front = unixMillis << TIME_SHIFT | VERSION_SEVEN | random.nextLong(1L << RANDOM_BITS_OF_VERSION);
-        long back = VARIANT | random.nextLong() & VARIANT_MASK;
-        return new UUID(front, back).toString();
+        long highBits = unixMillis << TIME_SHIFT | VERSION_SEVEN | random.nextLong(1L << RANDOM_BITS_OF_VERSION);
+        long lowBits = VARIANT | random.nextLong() & VARIANT_MASK;
+        return new UUID(highBits, lowBits).toString();
     }
 }
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/load/DurationReader.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/load/DurationDeserializer.java
@@ -8,19 +8,19 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Reads a duration as people write it: a whole number and one of {@code ms}, {@code s}, {@code m}, {@code h}. */
-public final class DurationReader extends StdDeserializer<Duration> {
-    private static final Pattern FORM = Pattern.compile("([0-9]{1,9})(ms|s|m|h)");
+/** Deserializes a duration written as a whole number with a unit: {@code ms}, {@code s}, {@code m} or {@code h}. */
+public final class DurationDeserializer extends StdDeserializer<Duration> {
+    private static final Pattern FORMAT = Pattern.compile("([0-9]{1,9})(ms|s|m|h)");
 
-    /** Creates a reader. */
-    public DurationReader() {
+    /** Creates a deserializer. */
+    public DurationDeserializer() {
         super(Duration.class);
     }
 
     @Override
     public Duration deserialize(JsonParser parser, DeserializationContext context) throws IOException {
         String text = parser.getText();
-        Matcher matcher = FORM.matcher(text);
+        Matcher matcher = FORMAT.matcher(text);
         if (!matcher.matches()) {
             return (Duration) context.handleWeirdStringValue(
                     Duration.class, text, "expected a whole number with ms, s, m or h, for example 250ms");
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/load/EventStreamParser.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/load/EventStreamParser.java
@@ -5,7 +5,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.function.BiConsumer;
 
-/** Takes server-sent events out of bytes that come in any pieces. Not safe from several threads. */
+/** Parses server-sent events from byte chunks of any size. Not thread-safe. */
 final class EventStreamParser {
     private static final String DEFAULT_EVENT = "message";
 
@@ -17,17 +17,17 @@
     /**
      * Creates a parser.
      *
-     * @param listener takes the name and the data of each event
+     * @param listener receives the name and data of each event
      */
     EventStreamParser(BiConsumer<String, String> listener) {
         this.listener = listener;
     }
 
-    void take(ByteBuffer bytes) {
+    void parse(ByteBuffer bytes) {
         while (bytes.hasRemaining()) {
             byte next = bytes.get();
             if (next == '\n') {
-                takeLine(line.toString(StandardCharsets.UTF_8));
+                parseLine(line.toString(StandardCharsets.UTF_8));
                 line.reset();
                 continue;
             }
@@ -37,7 +37,7 @@
         }
     }
 
-    private void takeLine(String text) {
+    private void parseLine(String text) {
         if (text.isEmpty()) {
             dispatch();
             return;
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/load/GroupReport.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/load/GroupReport.java
@@ -3,22 +3,22 @@
 import java.util.Map;
 
 /**
- * What came of one group's requests.
+ * The outcomes of one group of requests.
  *
- * @param offered how many were sent, or could not be sent because no node was ready
- * @param served how many were answered whole and in time
- * @param late how many were answered whole after the deadline
- * @param lost how many got no answer, or one that cannot be used
- * @param refused how many were refused
- * @param attainment served of offered
- * @param worthOffered what all would have been worth in time
- * @param worthServed what those served in time were worth
- * @param refusedByCode refused by result code
- * @param refusedByRun refused by whether the refusal says that it has run: {@code run}, {@code not-run}, {@code unknown}
- * @param lostByReason lost by reason
- * @param wholeMillis from the time to send to the answer's end, of those served and late
- * @param firstTokenMillis from the time to send to the first token, of streamed answers
- * @param betweenTokensMillis between two tokens of a stream
+ * @param offered the number of requests, including those not sent because no node was ready
+ * @param served the number of complete answers before the deadline
+ * @param late the number of complete answers after the deadline
+ * @param lost the number of requests without a usable answer
+ * @param refused the number of refused requests
+ * @param attainment the ratio of served to offered requests
+ * @param worthOffered the total worth of all requests
+ * @param worthServed the total worth of the served requests
+ * @param refusedByCode refused requests by result code
+ * @param refusedByRun refused requests by run state in the refusal: {@code run}, {@code not-run}, {@code unknown}
+ * @param lostByReason lost requests by reason
+ * @param wholeMillis the time from the scheduled send time to the end of the answer, for served and late requests
+ * @param firstTokenMillis the time from the scheduled send time to the first token, for streamed answers
+ * @param betweenTokensMillis the interval between two tokens of a stream
  */
 public record GroupReport(
         long offered,
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/load/GroupTally.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/load/GroupTally.java
@@ -4,10 +4,10 @@
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 
-/** The counting behind one {@link GroupReport}. Not safe from several threads. */
+/** Accumulates a {@link GroupReport}. Not thread-safe. */
 final class GroupTally {
     private static final int SIGNIFICANT_DIGITS = 3;
-    private static final String NOT_SAID = "not-said";
+    private static final String UNSPECIFIED = "not-said";
     private static final long NANOS_PER_MICRO = 1_000;
 
     private long offered;
@@ -40,7 +40,7 @@
             case Outcome.Refused refusal -> {
                 refused++;
                 refusedByCode.merge(refusal.code(), 1L, Long::sum);
-                refusedByRun.merge(refusal.run().isEmpty() ? NOT_SAID : refusal.run(), 1L, Long::sum);
+                refusedByRun.merge(refusal.run().isEmpty() ? UNSPECIFIED : refusal.run(), 1L, Long::sum);
             }
             case Outcome.Lost loss -> {
                 lost++;
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/load/LoadCommand.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/load/LoadCommand.java
@@ -10,18 +10,18 @@
 import java.nio.file.Path;
 import org.wagtaillug.standin.http.Json;
 
-/** The subcommand {@code load}: runs a load file, prints a table and writes the report. */
-@Parameters(commandDescription = "Sends the requests of a load file to nodes and reports what came of them")
+/** The {@code load} subcommand: runs a load file, prints a table and writes the report. */
+@Parameters(commandDescription = "Sends the requests of a load file to nodes and reports the outcomes")
 public final class LoadCommand {
     private static final String PROGRAM = "standin load: ";
 
-    /** How a run ended. */
+    /** The result of the command. */
     public enum End {
-        /** It ran and every answer was true. */
+        /** The run completed and no answer was incorrect. */
         TRUE,
-        /** It could not run, or an answer was not true. */
+        /** The run failed, or an answer was incorrect. */
         FAILED,
-        /** The load file is wrong. */
+        /** The load file is invalid. */
         WRONG_FILE
     }
 
@@ -37,27 +37,25 @@
     @Parameter(names = "--report", description = "File for the report in JSON")
     private String report;
 
-    @Parameter(names = "--plot", description = "File for a plot by second, PNG")
+    @Parameter(names = "--plot", description = "PNG file for a plot of the outcomes per second")
     private String plot;
 
-    @Parameter(
-            names = "--started",
-            description = "File that is written when sending begins, with that time in Unix milliseconds")
+    @Parameter(names = "--started", description = "File to write the start time of sending to, in Unix milliseconds")
     private String started;
 
-    /** Tells whether only the help is wanted. */
+    /** Returns whether help was requested. */
     public boolean help() {
         return help;
     }
 
-    /** Runs the load; what is wrong goes to {@code err}. */
+    /** Runs the load; errors are printed to {@code err}. */
     public End run(PrintStream out, PrintStream err) {
         Either<String, LoadFile> read = LoadFile.read(Path.of(file));
         if (read.isLeft()) {
             err.println(PROGRAM + read.getLeft());
             return End.WRONG_FILE;
         }
-        try (LoadRun run = new LoadRun(read.get(), seed, this::noteStart)) {
+        try (LoadRun run = new LoadRun(read.get(), seed, this::writeStartTime)) {
             Either<String, LoadReport> result = run.run();
             if (result.isLeft()) {
                 err.println(PROGRAM + result.getLeft());
@@ -70,7 +68,7 @@
         }
     }
 
-    private void noteStart() {
+    private void writeStartTime() {
         if (started == null) {
             return;
         }
@@ -90,7 +88,7 @@
             LoadPlot.write(result, Path.of(plot).toFile());
         }
         if (result.truth().sum() > 0) {
-            err.println(PROGRAM + "answers were not true: " + result.truth());
+            err.println(PROGRAM + "incorrect answers: " + result.truth());
             return End.FAILED;
         }
         return End.TRUE;
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/load/LoadFile.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/load/LoadFile.java
@@ -25,7 +25,7 @@
 import org.wagtaillug.standin.options.NearestName;
 
 /**
- * What to send, as read from a YAML file:
+ * The description of a load, read from a YAML file:
  *
  * <pre>
  * nodes: [http://127.0.0.1:8001, http://127.0.0.1:8002]
@@ -43,17 +43,19 @@
  *   - {at: 30s, url: "http://127.0.0.1:9100/faults", body: {fault: restart}}
  * </pre>
  *
- * @param nodes the nodes' addresses for callers
- * @param duration for how long to send, the warm-up included
- * @param warmUp for how long from the start requests are sent but not counted, at a rate that rises evenly from nothing;
- *     0s by default; a burst comes after it
- * @param rate requests a second
- * @param burst a time of a higher rate; absent for none
- * @param customers who sends; a share is a weight
- * @param kinds what is sent; a share is a weight
- * @param ledgers plain services whose {@code /executions} show at the end whether a key ran twice or ran though it was
- *     refused as not run; empty by default
- * @param faults what to switch while it runs; empty by default
+ * @param nodes the base URLs of the nodes
+ * @param duration how long to send, including the warm-up
+ * @param warmUp the initial period whose requests are not counted and whose rate increases linearly from zero; 0s by
+ *     default; a
+ *     burst must start after it
+ * @param rate requests per second
+ * @param burst a period with a higher rate; absent for none
+ * @param customers the customers; a share is a relative weight
+ * @param kinds the kinds of request; a share is a relative weight
+ * @param ledgers plain services whose {@code /executions} are read at the end to find keys that ran twice, or ran although
+ *     the
+ *     request was refused as not run; empty by default
+ * @param faults calls to make during the run, usually to inject faults; empty by default
  */
 public record LoadFile(
         List<URI> nodes,
@@ -66,7 +68,7 @@
         List<URI> ledgers,
         List<TimedCall> faults) {
 
-    /** Replaces absent lists by empty ones. */
+    /** Replaces absent lists with empty ones and an absent warm-up with zero. */
     public LoadFile {
         warmUp = warmUp == null ? Duration.ZERO : warmUp;
         nodes = nodes == null ? List.of() : List.copyOf(nodes);
@@ -77,27 +79,27 @@
     }
 
     /**
-     * A time of a higher rate.
+     * A period with a higher rate.
      *
-     * @param at when it begins, from the start
-     * @param length how long it lasts; {@code for} in the file
-     * @param factor what the rate is multiplied by
+     * @param at its start, relative to the start of the run
+     * @param length its length; {@code for} in the file
+     * @param factor the multiplier of the rate
      */
     public record Burst(Duration at, @JsonProperty("for") Duration length, double factor) {}
 
     /**
      * A customer and its weight.
      *
-     * @param worths what a request is worth by the name of its kind, where the customer's differs from the kind's; empty
-     *     by default
+     * @param worths the worth of a request by name of its kind, where it differs from the worth of the kind; empty by
+     *     default
      */
     public record Customer(String name, double share, Map<String, Double> worths) {
-        /** Replaces absent worths by none. */
+        /** Replaces absent worths with an empty map. */
         public Customer {
             worths = worths == null ? Map.of() : Map.copyOf(worths);
         }
 
-        /** Returns what a request of a kind is worth to this customer when it is served in time. */
+        /** Returns the worth of a request of a kind to this customer if it is served in time. */
         double worth(Kind kind) {
             return worths.getOrDefault(kind.name(), kind.worth());
         }
@@ -109,16 +111,18 @@
      * @param name its name in the report
      * @param template the template's name
      * @param share its weight
-     * @param worth what one that is served in time is worth
-     * @param stream whether the answer is to be streamed
-     * @param deadline the caller's deadline, from the sending
-     * @param maxTokens the most tokens to generate; absent for the template's own
-     * @param idempotencyKey whether each request carries a key of its own
+     * @param worth the worth of a request that is served in time
+     * @param stream whether to request a streamed answer
+     * @param deadline the caller's deadline, relative to the send time
+     * @param maxTokens the maximum number of tokens to generate; absent for the template's default
+     * @param idempotencyKey whether each request has a unique idempotency key
      * @param input the input to send; absent for {@code inputWords} random words
-     * @param inputWords how many random words the input has; 20 by default
-     * @param prefix names what many requests begin with: random words of which the input begins, the same for the same
-     *     name; sent as {@code prefix}; absent for none
-     * @param prefixes how many such beginnings each customer has, numbered from 0; 1 by default, without a number
+     * @param inputWords the number of random words in the input; 20 by default
+     * @param prefix the name of a common input prefix, sent as {@code prefix}. The input starts with random words that
+     *     depend
+     *     on this name only. Absent for none
+     * @param prefixes the number of prefixes per customer, numbered from 0; 1 by default, without a number and common to all
+     *     customers
      */
     public record Kind(
             String name,
@@ -135,7 +139,7 @@
             Integer prefixes) {
         private static final int DEFAULT_INPUT_WORDS = 20;
 
-        /** Takes the defaults of what is not given. */
+        /** Sets the defaults of absent values. */
         public Kind {
             inputWords = inputWords == null ? DEFAULT_INPUT_WORDS : inputWords;
             prefixes = prefixes == null ? 1 : prefixes;
@@ -143,15 +147,15 @@
     }
 
     /**
-     * One call at a time of the run, for a fault or anything else.
+     * A call at a given time of the run, usually to inject a fault.
      *
-     * @param at when, from the start
-     * @param url where
+     * @param at the time of the call, relative to the start of the run
+     * @param url the target
      * @param method POST by default
      * @param body the JSON to send
      */
     public record TimedCall(Duration at, URI url, String method, JsonNode body) {
-        /** Takes POST if no method is given. */
+        /** Uses POST if no method is given. */
         public TimedCall {
             method = method == null ? "POST" : method;
         }
@@ -159,7 +163,7 @@
 
     private static final ObjectMapper YAML = YAMLMapper.builder()
             .propertyNamingStrategy(PropertyNamingStrategies.SNAKE_CASE)
-            .addModule(new SimpleModule().addDeserializer(Duration.class, new DurationReader()))
+            .addModule(new SimpleModule().addDeserializer(Duration.class, new DurationDeserializer()))
             .enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION)
             .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
             .build();
@@ -167,7 +171,7 @@
     /**
      * Reads a load file.
      *
-     * @return the file's content, or all that is wrong with it, one problem a line
+     * @return the content of the file, or all its problems, one per line
      */
     public static Either<String, LoadFile> read(Path file) {
         if (!Files.isReadable(file)) {
@@ -185,33 +189,35 @@
                 return Either.right(read);
             }
             return Either.left(file + ": " + String.join(System.lineSeparator() + file + ": ", problems));
-        } catch (JsonProcessingException wrong) {
-            return Either.left(file + ": " + describe(wrong, text));
+        } catch (JsonProcessingException failure) {
+            return Either.left(file + ": " + describe(failure, text));
         } catch (IOException unreadable) {
             return Either.left(file + ": cannot be read: " + unreadable.getMessage());
         }
     }
 
-    private static String describe(JsonProcessingException wrong, String text) {
-        if (!(wrong instanceof JsonMappingException mapping)) {
-            return line(wrong.getLocation()) + wrong.getOriginalMessage();
+    private static String describe(JsonProcessingException failure, String text) {
+        if (!(failure instanceof JsonMappingException mapping)) {
+            return line(failure.getLocation()) + failure.getOriginalMessage();
         }
         String place = line(locate(mapping, text)) + path(mapping) + ": ";
-        if (wrong instanceof UnrecognizedPropertyException unknown) {
+        if (failure instanceof UnrecognizedPropertyException unknown) {
             TreeSet<String> known = new TreeSet<>();
             unknown.getKnownPropertyIds().forEach(id -> known.add(id.toString()));
             return place + NearestName.expected(unknown.getPropertyName(), known);
         }
-        return place + wrong.getOriginalMessage();
+        return place + failure.getOriginalMessage();
     }
 
     private static String line(JsonLocation location) {
         return location == null ? "" : "line " + location.getLineNr() + ": ";
     }
 
-    /** Finds the member that a problem names: the mapper itself reports the end of the object around it. */
-    private static JsonLocation locate(JsonMappingException wrong, String text) {
-        String wanted = "/" + path(wrong).replace("[", ".").replace("]", "").replace('.', '/');
+    /**
+     * Returns the location of the member that caused a problem. The mapper reports the end of the enclosing object instead.
+     */
+    private static JsonLocation locate(JsonMappingException failure, String text) {
+        String wanted = "/" + path(failure).replace("[", ".").replace("]", "").replace('.', '/');
         try (JsonParser parser = YAML.createParser(text)) {
             while (parser.nextToken() != null) {
                 if (parser.getParsingContext().pathAsPointer().toString().equals(wanted)) {
@@ -219,14 +225,14 @@
                 }
             }
         } catch (IOException unreadable) {
-            return wrong.getLocation();
+            return failure.getLocation();
         }
-        return wrong.getLocation();
+        return failure.getLocation();
     }
 
-    private static String path(JsonMappingException wrong) {
+    private static String path(JsonMappingException failure) {
         StringBuilder path = new StringBuilder();
-        for (JsonMappingException.Reference reference : wrong.getPath()) {
+        for (JsonMappingException.Reference reference : failure.getPath()) {
             if (reference.getFieldName() == null) {
                 path.append('[').append(reference.getIndex()).append(']');
                 continue;
@@ -240,8 +246,8 @@
         List<String> problems = new ArrayList<>();
         require(problems, !nodes.isEmpty(), "nodes: empty, expected at least one address");
         require(problems, duration != null && !duration.isZero(), "duration: expected a time above 0s");
-        boolean counts = duration == null || warmUp.compareTo(duration) < 0;
-        require(problems, counts, "warm_up: expected a time below the duration");
+        boolean warmUpFits = duration == null || warmUp.compareTo(duration) < 0;
+        require(problems, warmUpFits, "warm_up: expected a time below the duration");
         require(problems, rate > 0, "rate: found " + rate + ", expected requests a second, above 0");
         require(problems, !customers.isEmpty(), "customers: empty, expected at least one");
         require(problems, !kinds.isEmpty(), "kinds: empty, expected at least one");
@@ -279,8 +285,8 @@
         require(problems, kind.prefixes() > 0, path + "prefixes: found " + kind.prefixes() + ", expected above 0");
     }
 
-    private static void require(List<String> problems, boolean holds, String problem) {
-        if (!holds) {
+    private static void require(List<String> problems, boolean valid, String problem) {
+        if (!valid) {
             problems.add(problem);
         }
     }
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/load/LoadPlot.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/load/LoadPlot.java
@@ -13,7 +13,7 @@
 import org.jfree.data.xy.XYSeries;
 import org.jfree.data.xy.XYSeriesCollection;
 
-/** Draws what came of the requests in each second. */
+/** Plots the outcomes of the requests per second. */
 final class LoadPlot {
     private static final int WIDTH = 1_200;
     private static final int HEIGHT = 500;
@@ -23,7 +23,7 @@
 
     private LoadPlot() {}
 
-    /** Writes a PNG; needs no screen. */
+    /** Writes a PNG file; works without a display. */
     static void write(LoadReport report, File file) throws IOException {
         System.setProperty("java.awt.headless", "true");
         XYSeriesCollection lines = new XYSeriesCollection();
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/load/LoadReport.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/load/LoadReport.java
@@ -4,25 +4,26 @@
 import java.util.Map;
 
 /**
- * The result of a run.
+ * The report of a load run.
  *
  * @param seed the seed of the arrivals
- * @param durationMillis for how long it sent
- * @param warmUpMillis for how long from the start requests were not counted; they show in truth and seconds only
- * @param offeredPerSecond the mean rate
+ * @param durationMillis how long requests were sent
+ * @param warmUpMillis the initial period whose requests are included in truth and seconds only
+ * @param offeredPerSecond the mean request rate
  * @param total all requests
  * @param customers by customer
  * @param kinds by kind
  * @param customerKinds by customer and kind, as {@code customer/kind}
- * @param truth answers that were not true
- * @param retried how many were sent a second time under their idempotency key
- * @param nodes how many requests each node was sent
- * @param sendLagMillis how late requests were sent; a high value means that this machine did not keep up
- * @param faults the timed calls and what came of them
- * @param seconds what came of the requests that were due in each second
- * @param misses the first requests after the warm-up that were not served in time, and all whose key's executions do not
- *     fit their answer
- * @param notRun the ids of all requests that were refused as not run
+ * @param truth counts of incorrect answers
+ * @param retried the number of requests retried with the same idempotency key
+ * @param nodes the number of requests sent to each node
+ * @param sendLagMillis the delay of sends behind schedule; high values mean that this machine was overloaded
+ * @param faults the timed calls and their results
+ * @param seconds the outcomes of the requests scheduled in each second
+ * @param misses the first requests after the warm-up that were not served in time, and all requests whose number of
+ *     executions
+ *     contradicts their answer
+ * @param notRun the ids of all requests refused as not run
  */
 public record LoadReport(
         long seed,
@@ -42,20 +43,20 @@
         List<Miss> misses,
         List<String> notRun) {
     /**
-     * A timed call and what came of it.
+     * A timed call and its result.
      *
-     * @param atMillis when, from the start
+     * @param atMillis the time of the call since the start
      * @param result the HTTP status, or the failure
      */
     public record FaultReport(long atMillis, String url, String body, String result) {}
 
     /**
-     * One request that was not served in time, or whose answer was not true.
+     * A request that was not served in time or got an incorrect answer.
      *
-     * @param atMillis when it was due, from the start
-     * @param wholeMillis how long it took to its end
-     * @param retried whether it was sent a second time
-     * @param what what came of it
+     * @param atMillis the scheduled send time since the start
+     * @param wholeMillis the time until it ended
+     * @param retried whether it was retried
+     * @param what the outcome
      */
     public record Miss(
             long atMillis,
@@ -68,10 +69,10 @@
             boolean retried,
             String what) {}
 
-    /** One second of the run. */
+    /** The outcomes of the requests scheduled in one second of the run. */
     public record SecondReport(int second, long served, long late, long lost, long refused) {}
 
-    /** Returns the report as a table for people. */
+    /** Returns the report as a human-readable table. */
     public String table() {
         StringBuilder table = new StringBuilder();
         String head = "%-34s %8s %8s %6s %6s %8s %7s %10s %10s %9s %9s %9s %9s%n";
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/load/LoadRun.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/load/LoadRun.java
@@ -21,20 +21,20 @@
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 import org.wagtaillug.standin.http.Json;
 
-/** One run of the load: one thread sends at the fixed times, others follow the answers. */
+/** A load run. One thread sends the requests at their scheduled times, other threads process the answers. */
 final class LoadRun implements AutoCloseable {
     private static final int THREADS = 64;
     private static final int CONNECTIONS_PER_NODE = 4_096;
     private static final int QUEUED_PER_NODE = 16_384;
-    private static final long IDLE_MILLIS = 5_000;
-    private static final long PROBE_MILLIS = 250;
-    private static final long READY_WITHIN_MILLIS = 30_000;
+    private static final long IDLE_TIMEOUT_MILLIS = 5_000;
+    private static final long PROBE_INTERVAL_MILLIS = 250;
+    private static final long READY_TIMEOUT_MILLIS = 30_000;
     private static final long LEDGER_TIMEOUT_MILLIS = 10_000;
 
     private final LoadFile file;
     private final List<Arrival> arrivals;
     private final Recorder recorder;
-    private final CountDownLatch left;
+    private final CountDownLatch pending;
     private final HttpClient client = new HttpClient();
     private final Balancer balancer;
     private final ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor(task -> {
@@ -46,45 +46,45 @@
     private final Runnable started;
 
     /**
-     * Prepares a run.
+     * Creates a run.
      *
-     * @param started is told when sending begins
+     * @param started called when sending starts
      */
     LoadRun(LoadFile file, long seed, Runnable started) {
         this.file = file;
         this.started = started;
         this.arrivals = Schedule.arrivals(file, seed);
         this.recorder = new Recorder(file, seed);
-        this.left = new CountDownLatch(arrivals.size());
+        this.pending = new CountDownLatch(arrivals.size());
         this.balancer = new Balancer(client, file.nodes());
     }
 
     /**
-     * Sends all requests and waits for their ends.
+     * Sends all requests and waits until they have ended.
      *
-     * @return the report, or why there is none
+     * @return the report, or an error message
      */
     Either<String, LoadReport> run() throws Exception {
         startClient();
-        timer.scheduleWithFixedDelay(balancer::probe, 0, PROBE_MILLIS, TimeUnit.MILLISECONDS);
+        timer.scheduleWithFixedDelay(balancer::probe, 0, PROBE_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         if (!awaitReady()) {
             return Either.left(
-                    "no node is ready: " + file.nodes() + ", expected one within " + READY_WITHIN_MILLIS + " ms");
+                    "no node is ready: " + file.nodes() + ", expected one within " + READY_TIMEOUT_MILLIS + " ms");
         }
         long start = System.nanoTime();
         started.run();
         scheduleFaults();
-        Call.Surroundings surroundings = new Call.Surroundings(client, balancer, recorder, timer);
+        Call.Context context = new Call.Context(client, balancer, recorder, timer);
         for (Arrival arrival : arrivals) {
             long due = start + arrival.atNanos();
             parkUntil(due);
             long now = System.nanoTime();
             recorder.sent(now - due);
             Call.Due dueAt = new Call.Due(due, System.currentTimeMillis());
-            new Call(surroundings, arrival, call -> left.countDown(), dueAt).send(now);
+            new Call(context, arrival, call -> pending.countDown(), dueAt).send(now);
         }
-        if (!left.await(longestAnswerMillis(), TimeUnit.MILLISECONDS)) {
-            return Either.left(left.getCount() + " requests never came to an end");
+        if (!pending.await(maxCompletionMillis(), TimeUnit.MILLISECONDS)) {
+            return Either.left(pending.getCount() + " requests did not complete in time");
         }
         return executions().map(recorder::report);
     }
@@ -95,7 +95,7 @@
         try {
             client.stop();
         } catch (Exception failure) {
-            throw new IOException("the client does not stop", failure);
+            throw new IOException("cannot stop the HTTP client", failure);
         }
     }
 
@@ -106,13 +106,13 @@
         client.setExecutor(threads);
         client.setMaxConnectionsPerDestination(CONNECTIONS_PER_NODE);
         client.setMaxRequestsQueuedPerDestination(QUEUED_PER_NODE);
-        client.setIdleTimeout(IDLE_MILLIS);
+        client.setIdleTimeout(IDLE_TIMEOUT_MILLIS);
         client.setFollowRedirects(false);
         client.start();
     }
 
     private boolean awaitReady() {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_WITHIN_MILLIS);
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_TIMEOUT_MILLIS);
         while (!balancer.anyReady()) {
             if (System.nanoTime() > end) {
                 return false;
@@ -130,13 +130,13 @@
         }
     }
 
-    private long longestAnswerMillis() {
+    private long maxCompletionMillis() {
         long longest = 0;
         for (LoadFile.Kind kind : file.kinds()) {
             longest = Math.max(longest, kind.deadline().toMillis());
         }
-        int sendings = file.nodes().size() + 1;
-        return sendings * (longest + Call.GRACE_MILLIS);
+        int maxSends = file.nodes().size() + 1;
+        return maxSends * (longest + Call.GRACE_MILLIS);
     }
 
     private void scheduleFaults() {
@@ -151,11 +151,11 @@
                 .method(fault.method())
                 .body(new StringRequestContent("application/json", body))
                 .send(result -> {
-                    String came = result.isSucceeded()
+                    String outcome = result.isSucceeded()
                             ? Integer.toString(result.getResponse().getStatus())
                             : String.valueOf(result.getFailure().getMessage());
                     recorder.fault(new LoadReport.FaultReport(
-                            fault.at().toMillis(), fault.url().toString(), body, came));
+                            fault.at().toMillis(), fault.url().toString(), body, outcome));
                 });
     }
 
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/load/Outcome.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/load/Outcome.java
@@ -1,33 +1,32 @@
 package org.wagtaillug.standin.load;
 
-/** What came of one request, as its caller sees it. */
+/** The outcome of a request from the caller's point of view. */
 sealed interface Outcome {
     /**
-     * The whole answer came.
+     * The request got a complete answer.
      *
-     * @param inTime whether it came before the deadline
+     * @param inTime whether the answer was complete before the deadline
      */
     record Served(boolean inTime) implements Outcome {}
 
     /**
-     * It was refused.
+     * The request was refused.
      *
-     * @param code the result code, or {@code http-} and the status when the answer names none
-     * @param run whether it has run, in the refusal's own word: {@code run}, {@code not-run} or {@code unknown}; empty if
-     *     it does not say
-     * @param retryAfterMillis after which time it may be tried again; 0 if the refusal names none
+     * @param code the result code, or {@code http-} and the status if the answer contains none
+     * @param run the run state in the refusal: {@code run}, {@code not-run} or {@code unknown}; empty if absent
+     * @param retryAfterMillis the delay after which a retry is allowed; 0 if the refusal contains none
      */
     record Refused(String code, String run, long retryAfterMillis) implements Outcome {
-        /** Tells whether the refusal says that nothing has run. */
+        /** Returns whether the refusal states that nothing has run. */
         boolean notRun() {
             return run.equals("not-run");
         }
     }
 
     /**
-     * No answer, or one that cannot be used.
+     * The request got no usable answer.
      *
-     * @param reason in a few words, the same for the same cause
+     * @param reason a short text that is identical for the same cause
      */
     record Lost(String reason) implements Outcome {}
 }
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/load/Percentiles.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/load/Percentiles.java
@@ -3,14 +3,14 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * How long something took, in milliseconds.
+ * Percentiles of a distribution of durations, in milliseconds.
  *
- * @param count how many were measured
+ * @param count the number of measured values
  */
 public record Percentiles(long count, double p50, double p90, double p95, double p99, double max) {
     private static final double MICROS_PER_MILLI = 1_000;
 
-    /** Reads a histogram of microseconds. */
+    /** Converts a histogram of microseconds. */
     static Percentiles of(Histogram micros) {
         return new Percentiles(
                 micros.getTotalCount(),
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/load/Recorder.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/load/Recorder.java
@@ -8,12 +8,12 @@
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 
-/** Counts what came of each request. Safe from all threads. */
+/** Records the outcome of each request. Thread-safe. */
 final class Recorder {
     private static final int SIGNIFICANT_DIGITS = 3;
     private static final long NANOS_PER_MICRO = 1_000;
     private static final long NANOS_PER_MILLI = 1_000_000;
-    private static final int MISSES_KEPT = 500;
+    private static final int MAX_MISSES = 500;
     private static final long NANOS_PER_SECOND = 1_000_000_000;
 
     private final LoadFile file;
@@ -24,7 +24,7 @@
     private final Map<String, GroupTally> customerKinds = new TreeMap<>();
     private final TreeMap<Integer, GroupTally> seconds = new TreeMap<>();
     private final Map<String, Long> nodes = new TreeMap<>();
-    private final Map<String, Keyed> keys = new HashMap<>();
+    private final Map<String, KeyedRequest> keys = new HashMap<>();
     private final List<LoadReport.Miss> misses = new ArrayList<>();
     private final List<String> notRun = new ArrayList<>();
     private final List<LoadReport.FaultReport> faults = new ArrayList<>();
@@ -35,12 +35,12 @@
     private long retried;
 
     /**
-     * How a request ended.
+     * The end of a request.
      *
-     * @param key its idempotency key; empty when it had none
-     * @param node which it was sent to last; empty when none was ready
-     * @param retried whether it was sent a second time
-     * @param wholeNanos from the time to send to the end
+     * @param key its idempotency key; empty if it has none
+     * @param node the node it was last sent to; empty if none was ready
+     * @param retried whether it was retried
+     * @param wholeNanos the time from the scheduled send time to the end
      */
     record Ending(
             String request,
@@ -51,7 +51,7 @@
             AnswerCheck check,
             long wholeNanos) {}
 
-    private record Keyed(Arrival arrival, Ending ending) {}
+    private record KeyedRequest(Arrival arrival, Ending ending) {}
 
     Recorder(LoadFile file, long seed) {
         this.file = file;
@@ -62,7 +62,7 @@
         sendLag.recordValue(Math.max(0, lagNanos) / NANOS_PER_MICRO);
     }
 
-    synchronized void given(String node) {
+    synchronized void dispatched(String node) {
         nodes.merge(node, 1L, Long::sum);
     }
 
@@ -82,7 +82,7 @@
         retried++;
     }
 
-    /** Counts a request's end. */
+    /** Records the end of a request. */
     synchronized void end(Arrival arrival, Ending ending) {
         Outcome outcome = ending.outcome();
         double worth = arrival.customer().worth(arrival.kind());
@@ -96,12 +96,12 @@
         tooShort += check.tooShort() ? 1 : 0;
         doubled += check.doubled() ? 1 : 0;
         if (!ending.key().isEmpty()) {
-            keys.put(ending.key(), new Keyed(arrival, ending));
+            keys.put(ending.key(), new KeyedRequest(arrival, ending));
         }
         if (outcome instanceof Outcome.Refused refusal && refusal.notRun()) {
             notRun.add(ending.request());
         }
-        if (counts(arrival) && misses.size() < MISSES_KEPT) {
+        if (isMeasured(arrival) && misses.size() < MAX_MISSES) {
             describe(ending).ifPresent(text -> misses.add(miss(arrival, ending, text)));
         }
     }
@@ -132,10 +132,10 @@
     }
 
     /**
-     * Closes the books.
+     * Returns the report of the run.
      *
-     * @param executions how often the ledgers show each key as executed, as the caller wrote it or with the customer and
-     *     a slash in front; empty when none was asked
+     * @param executions the number of executions of each key according to the ledgers; keys are as sent by the caller or
+     *     prefixed with the customer and a slash; empty if there are no ledgers
      */
     synchronized LoadReport report(Map<String, Integer> executions) {
         double duration = file.duration().minus(file.warmUp()).toNanos() / (double) NANOS_PER_SECOND;
@@ -167,18 +167,18 @@
         if (file.ledgers().isEmpty()) {
             return new TruthErrors(wrongRequest, tooShort, doubled, 0, 0, 0);
         }
-        for (Map.Entry<String, Keyed> entry : keys.entrySet()) {
+        for (Map.Entry<String, KeyedRequest> entry : keys.entrySet()) {
             String customer = entry.getValue().arrival().customer().name();
             int times = executions.getOrDefault(entry.getKey(), 0)
                     + executions.getOrDefault(customer + "/" + entry.getKey(), 0);
             Outcome outcome = entry.getValue().ending().outcome();
             boolean ranTwice = times > 1;
-            boolean ranThoughNot = times > 0 && outcome instanceof Outcome.Refused refusal && refusal.notRun();
+            boolean ranDespiteNotRun = times > 0 && outcome instanceof Outcome.Refused refusal && refusal.notRun();
             boolean neverRan = times == 0 && outcome instanceof Outcome.Served;
             doubleRuns += ranTwice ? 1 : 0;
-            falseNotRun += ranThoughNot ? 1 : 0;
+            falseNotRun += ranDespiteNotRun ? 1 : 0;
             servedNotRun += neverRan ? 1 : 0;
-            if (ranTwice || ranThoughNot || neverRan) {
+            if (ranTwice || ranDespiteNotRun || neverRan) {
                 Ending ending = entry.getValue().ending();
                 misses.add(
                         miss(entry.getValue().arrival(), ending, "untrue: executed " + times + " times, " + outcome));
@@ -198,9 +198,9 @@
         return reports;
     }
 
-    /** The groups that a request counts in: none while the load warms up. */
+    /** Returns the groups in which a request is counted; none during the warm-up. */
     private List<GroupTally> groups(Arrival arrival) {
-        if (!counts(arrival)) {
+        if (!isMeasured(arrival)) {
             return List.of();
         }
         GroupTally customer = customers.computeIfAbsent(arrival.customer().name(), unused -> new GroupTally());
@@ -210,7 +210,7 @@
         return List.of(total, customer, kind, customerKind);
     }
 
-    private boolean counts(Arrival arrival) {
+    private boolean isMeasured(Arrival arrival) {
         return arrival.atNanos() >= file.warmUp().toNanos();
     }
 
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/load/RequestBody.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/load/RequestBody.java
@@ -6,7 +6,7 @@
 import org.wagtaillug.standin.http.Hashing;
 import org.wagtaillug.standin.http.Json;
 
-/** Writes the body of a request: the kind's input, or random words. */
+/** Creates the body of a request from the input of its kind or from random words. */
 final class RequestBody {
     private static final List<String> WORDS = List.of(
             "lunch",
@@ -36,7 +36,7 @@
             "gluten",
             "free");
 
-    private static final int WORDS_OF_PREFIX = 64;
+    private static final int PREFIX_WORDS = 64;
 
     private RequestBody() {}
 
@@ -45,7 +45,7 @@
         ObjectNode body = Json.mapper().createObjectNode();
         String prefix = prefix(arrival, random);
         if (kind.input() == null) {
-            body.put("input", beginning(prefix) + words(kind.inputWords(), random));
+            body.put("input", prefixWords(prefix) + words(kind.inputWords(), random));
         } else {
             body.set("input", kind.input());
         }
@@ -70,12 +70,12 @@
         return kind.prefix() + "-" + arrival.customer().name() + "-" + random.nextInt(kind.prefixes());
     }
 
-    /** The words that all inputs with this prefix begin with: long enough to fill an engine's cached prefix. */
-    private static String beginning(String prefix) {
+    /** Returns the words at the start of all inputs with a prefix, enough to fill the cached prefix of an engine. */
+    private static String prefixWords(String prefix) {
         if (prefix.isEmpty()) {
             return "";
         }
-        return prefix + " " + words(WORDS_OF_PREFIX, new SplittableRandom(Hashing.number(prefix))) + " ";
+        return prefix + " " + words(PREFIX_WORDS, new SplittableRandom(Hashing.number(prefix))) + " ";
     }
 
     private static String words(int count, SplittableRandom random) {
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/load/Schedule.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/load/Schedule.java
@@ -11,7 +11,7 @@
  * callers do. The same file and seed give the same arrivals.
  */
 final class Schedule {
-    private static final double NANOS = 1e9;
+    private static final double NANOS_PER_SECOND = 1e9;
 
     private final LoadFile file;
     private final SplittableRandom random;
@@ -21,7 +21,7 @@
         this.random = new SplittableRandom(seed);
     }
 
-    /** Returns all arrivals of a run, in the order of their times. */
+    /** Returns all arrivals of a run in chronological order. */
     static List<Arrival> arrivals(LoadFile file, long seed) {
         return new Schedule(file, seed).arrivals();
     }
@@ -32,30 +32,31 @@
         double expected = 0;
         while (true) {
             expected += random.nextExponential();
-            double at = timeOf(expected);
+            double at = arrivalTime(expected);
             if (at >= end) {
                 return arrivals;
             }
             LoadFile.Customer customer = choose(file.customers(), LoadFile.Customer::share);
             LoadFile.Kind kind = choose(file.kinds(), LoadFile.Kind::share);
-            arrivals.add(new Arrival(arrivals.size(), (long) (at * NANOS), customer, kind, random.nextLong()));
+            arrivals.add(
+                    new Arrival(arrivals.size(), (long) (at * NANOS_PER_SECOND), customer, kind, random.nextLong()));
         }
     }
 
     /**
-     * Returns the second by which so many requests are expected: the inverse of the rate summed up over time. While the
-     * load warms up the rate rises evenly from nothing, as no service is given its whole load at once.
+     * Returns the time in seconds at which the expected number of requests reaches a value: the inverse of the cumulative
+     * rate. During the warm-up the rate increases linearly from zero, because no service gets its full load at once.
      */
-    private double timeOf(double expected) {
+    private double arrivalTime(double expected) {
         double warmUp = seconds(file.warmUp());
         double withinWarmUp = warmUp * file.rate() / 2;
         if (expected < withinWarmUp) {
             return Math.sqrt(2 * expected * warmUp / file.rate());
         }
-        return warmUp + timeOfWarm(expected - withinWarmUp, warmUp);
+        return warmUp + arrivalTimeAfterWarmUp(expected - withinWarmUp, warmUp);
     }
 
-    private double timeOfWarm(double expected, double warmUp) {
+    private double arrivalTimeAfterWarmUp(double expected, double warmUp) {
         if (file.burst() == null) {
             return expected / file.rate();
         }
@@ -74,14 +75,14 @@
     }
 
     private <T> T choose(List<T> choices, ToDoubleFunction<T> share) {
-        double all = 0;
+        double total = 0;
         for (T choice : choices) {
-            all += share.applyAsDouble(choice);
+            total += share.applyAsDouble(choice);
         }
-        double left = random.nextDouble() * all;
+        double remaining = random.nextDouble() * total;
         for (T choice : choices) {
-            left -= share.applyAsDouble(choice);
-            if (left < 0) {
+            remaining -= share.applyAsDouble(choice);
+            if (remaining < 0) {
                 return choice;
             }
         }
@@ -89,6 +90,6 @@
     }
 
     private static double seconds(Duration duration) {
-        return duration.toNanos() / NANOS;
+        return duration.toNanos() / NANOS_PER_SECOND;
     }
 }
--- a/wagtaillug-standin/src/test/java/org/wagtaillug/standin/TestProcess.java
+++ b/wagtaillug-standin/src/test/java/org/wagtaillug/standin/TestProcess.java
@@ -17,9 +17,9 @@
 import java.util.concurrent.CompletableFuture;
 import org.wagtaillug.standin.http.Json;
 
-/** One process of stand-ins on free ports, and calls to it. */
+/** A test fixture that runs stand-ins on free ports and sends calls to them. */
 public final class TestProcess implements AutoCloseable {
-    private static final Duration PATIENCE = Duration.ofSeconds(30);
+    private static final Duration TIMEOUT = Duration.ofSeconds(30);
 
     private final StandInProcess process;
     private final List<HttpClient> clients = new ArrayList<>();
@@ -29,7 +29,7 @@
         this.process = process;
     }
 
-    /** Starts stand-ins, each given as a layout's entry in YAML without its port. */
+    /** Starts stand-ins, each given as a YAML layout entry without a port. */
     public static TestProcess start(String... entries) throws IOException {
         StringBuilder layout = new StringBuilder("region: r\nstandins:\n");
         for (String entry : entries) {
@@ -42,22 +42,22 @@
         return new TestProcess(StandInProcess.start(read));
     }
 
-    /** Waits until a condition at the interface holds. */
+    /** Polls until a condition is true. */
     public static void until(Callable<Boolean> condition) throws Exception {
-        long end = System.nanoTime() + PATIENCE.toNanos();
+        long end = System.nanoTime() + TIMEOUT.toNanos();
         while (!condition.call()) {
             if (System.nanoTime() > end) {
-                throw new AssertionError("the condition did not come true");
+                throw new AssertionError("condition not met within the time-out");
             }
         }
     }
 
-    /** Returns a client with connections of its own. */
+    /** Returns a client with its own connections. */
     public HttpClient newClient() {
-        HttpClient fresh =
+        HttpClient created =
                 HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
-        clients.add(fresh);
-        return fresh;
+        clients.add(created);
+        return created;
     }
 
     public int port(String name) {
@@ -95,7 +95,7 @@
         return json(name, "POST", "/faults", body);
     }
 
-    /** Opens a connection and sends a request on it, without reading. */
+    /** Opens a connection and sends a request without reading the answer. */
     public Socket open(String name, String method, String path, String body) throws IOException {
         Socket socket = new Socket("127.0.0.1", port(name));
         write(socket, method, path, body);
--- a/wagtaillug-standin/src/test/java/org/wagtaillug/standin/experiment/MetricsTextTest.java
+++ b/wagtaillug-standin/src/test/java/org/wagtaillug/standin/experiment/MetricsTextTest.java
@@ -33,7 +33,7 @@
         assertThat(MetricsText.parse(TEXT).sum("none")).isZero();
     }
 
-    /** A node was restarted between two readings: its counter begins at 0 again, and what it shows was all added since. */
+    /** After a restart between two readings counters start again at 0, so their current values are the difference. */
     @Test
     void aRestartedProcessCountsWhole() {
         MetricsText before = MetricsText.parse("a_total 10\nb_total 10\n");
--- a/wagtaillug-standin/src/test/java/org/wagtaillug/standin/experiment/PlanCommandTest.java
+++ b/wagtaillug-standin/src/test/java/org/wagtaillug/standin/experiment/PlanCommandTest.java
@@ -58,7 +58,7 @@
         }
     }
 
-    /** 96 slots; a request takes one for 0.2 * 1.02 s + 0.4 * 0.32 s + 0.3 * 0.52 s + 0.1 * 0 s = 0.488 s on average. */
+    /** 96 slots; a request occupies one for 0.2 * 1.02 s + 0.4 * 0.32 s + 0.3 * 0.52 s + 0.1 * 0 s = 0.488 s on average. */
     @ParameterizedTest
     @CsvSource({"ramdin, 118.03", "himalchuli, 103.23"})
     void theRateIsSixTenthsOfWhatTheEnginesBear(String firm, double rate) throws IOException {
--- a/wagtaillug-standin/src/test/java/org/wagtaillug/standin/experiment/SummaryTest.java
+++ b/wagtaillug-standin/src/test/java/org/wagtaillug/standin/experiment/SummaryTest.java
@@ -15,7 +15,7 @@
 import org.wagtaillug.standin.http.Json;
 import org.wagtaillug.standin.load.GroupReport;
 
-/** The folder {@code experiment/small} of the test resources is a small run, with the table that it has to give. */
+/** The test resource folder {@code experiment/small} contains a small run and its expected table. */
 class SummaryTest {
     private static final Path RUN = Path.of("src", "test", "resources", "experiment", "small");
 
@@ -41,7 +41,9 @@
         assertThat(table).isEqualTo(Files.readString(RUN.resolve("expected-table.txt")));
     }
 
-    /** Node 1 added 10 attempts of 4 s, 1 s of it wasted; node 2 started anew and counts whole: 5 attempts of 2 s. */
+    /**
+     * Node 1 has 10 more attempts of 4 s in total, 1 s wasted; node 2 has restarted, so all of its 5 attempts of 2 s count.
+     */
     @Test
     void addsUpWhatNodesSpentAfterTheWarmUp() {
         RunReport.StageCost encode = report().stages().get(0);
@@ -62,7 +64,7 @@
         assertThat(cold.prefixHits()).isEqualTo(0.75);
     }
 
-    /** A caller was told "not run", though an encoder had executed a stage of its request: that answer was not true. */
+    /** An answer "not run" is incorrect if an encoder executed a stage of the request. */
     @Test
     void findsRefusalsThatSaidNotRunThoughAStageRan() {
         assertThat(report().notRunThatRan()).isEqualTo(1);
--- a/wagtaillug-standin/src/test/java/org/wagtaillug/standin/http/FaultsTest.java
+++ b/wagtaillug-standin/src/test/java/org/wagtaillug/standin/http/FaultsTest.java
@@ -71,8 +71,8 @@
     }
 
     /**
-     * Something between the two ends has lost track of the open connections: what is sent on them goes nowhere, though
-     * new connections work. A caller that waits on an old one waits for ever.
+     * Reproduces a middlebox that has lost its connection state: data on open connections is dropped, while new connections
+     * work. A caller that waits on an old connection waits forever.
      */
     @Test
     void silencedConnectionsAreNeverAnsweredWhileNewOnesWork() throws Exception {
--- a/wagtaillug-standin/src/test/java/org/wagtaillug/standin/load/FakeNode.java
+++ b/wagtaillug-standin/src/test/java/org/wagtaillug/standin/load/FakeNode.java
@@ -13,7 +13,7 @@
 import org.wagtaillug.standin.http.StandInServer;
 import org.wagtaillug.standin.http.Timers;
 
-/** Answers callers as a node does; the template's name says how. */
+/** Answers callers like a node; the name of the template selects the behaviour. */
 final class FakeNode implements StandIn, AutoCloseable {
     private static final int TOKENS = 3;
 
@@ -25,11 +25,11 @@
     final Set<String> keys = ConcurrentHashMap.newKeySet();
     final AtomicInteger executionsOfEachKey = new AtomicInteger(1);
 
-    /** While set, connections break instead of an answer. */
-    volatile boolean breaks;
+    /** While set, connections are aborted instead of answered. */
+    volatile boolean abortsConnections;
 
-    /** While set, requests are refused with a time after which they may be tried again. */
-    volatile boolean refusesForNow;
+    /** While set, requests are refused with a retry delay. */
+    volatile boolean refusesWithRetry;
 
     private FakeNode(boolean ready) throws IOException {
         this.ready = ready;
@@ -76,7 +76,7 @@
 
     @Override
     public void restart(long downMillis) {
-        // Keeps nothing.
+        // There is no state to clear.
     }
 
     @Override
@@ -95,11 +95,11 @@
         String id = exchange.header("Wagtaillug-Request").orElse("");
         requests.add(id);
         exchange.header("Idempotency-Key").ifPresent(keys::add);
-        if (breaks) {
+        if (abortsConnections) {
             exchange.abort();
             return;
         }
-        if (refusesForNow) {
+        if (refusesWithRetry) {
             answer(exchange, 503, "{\"result_code\": 500, \"run\": \"not-run\", \"retry_after_millis\": 1}");
             return;
         }
--- a/wagtaillug-standin/src/test/java/org/wagtaillug/standin/load/LoadFileTest.java
+++ b/wagtaillug-standin/src/test/java/org/wagtaillug/standin/load/LoadFileTest.java
@@ -89,7 +89,7 @@
         assertThat(LoadFile.read(file).getLeft()).contains(problem);
     }
 
-    /** The rate rises evenly over the warm-up, so that half of it brings a quarter of its requests. */
+    /** The rate increases linearly during the warm-up, so its first half has a quarter of its requests. */
     @Test
     void theWarmUpRisesToTheWholeRate() throws IOException {
         LoadFile file = LoadFile.read(file(WHOLE.replace("rate: 100", "rate: 100\nwarm_up: 20s")))
@@ -112,7 +112,7 @@
         List<String> events = new ArrayList<>();
         EventStreamParser parser = new EventStreamParser((name, data) -> events.add(name + " " + data));
         for (int from = 0; from < bytes.length; from += piece) {
-            parser.take(ByteBuffer.wrap(bytes, from, Math.min(piece, bytes.length - from)));
+            parser.parse(ByteBuffer.wrap(bytes, from, Math.min(piece, bytes.length - from)));
         }
         assertThat(events).containsExactly("message {\"a\":\"é\"}", "end 1\n2");
     }
--- a/wagtaillug-standin/src/test/java/org/wagtaillug/standin/load/LoadRunTest.java
+++ b/wagtaillug-standin/src/test/java/org/wagtaillug/standin/load/LoadRunTest.java
@@ -110,8 +110,8 @@
     }
 
     /**
-     * A node takes the request and never answers. The caller gives up after its deadline; the request counts as lost,
-     * and the run comes to its end.
+     * Guards against a run that never ends because a node accepts a request and never answers. The request times out after
+     * its deadline and is counted as lost.
      */
     @Test
     void givesUpARequestThatIsNeverAnswered() throws Exception {
@@ -135,8 +135,8 @@
     }
 
     /**
-     * A node dies between two probes, so the balancer still gives requests to it. Nothing was sent when the connection
-     * is refused, so the request goes to the next node; here there is none.
+     * A node dies between two probes, so the balancer still selects it. A refused connection means that nothing was sent,
+     * so the request goes to the next node; in this test there is none.
      */
     @Test
     void takesOutANodeThatRefusesConnections() throws Exception {
@@ -157,8 +157,8 @@
         Call.Due due = new Call.Due(System.nanoTime(), 0);
         Arrival arrival = Schedule.arrivals(file, 1).get(0);
         ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor();
-        Call.Surroundings surroundings = new Call.Surroundings(calling, balancer, recorder, timer);
-        new Call(surroundings, arrival, ended::complete, due).send(System.nanoTime());
+        Call.Context context = new Call.Context(calling, balancer, recorder, timer);
+        new Call(context, arrival, ended::complete, due).send(System.nanoTime());
         ended.get();
         timer.shutdownNow();
         assertThat(recorder.report(Map.of()).total().lostByReason()).containsOnlyKeys("no node ready");
@@ -167,8 +167,8 @@
     }
 
     /**
-     * A booking runs twice under one key, or a refusal says not run though it ran. Callers cannot see either; only the
-     * ledgers behind the system do.
+     * A booking that runs twice under one key, and a refusal as not run of a booking that ran, are invisible to callers.
+     * They must be found in the ledgers of the services.
      */
     @Test
     void findsDoubleRunsAndFalseRefusalsInTheLedgers() throws Exception {
@@ -194,24 +194,24 @@
     }
 
     /**
-     * A node breaks its connections, or refuses for now. A caller with an idempotency key cannot tell whether its booking
-     * ran, asks another node under the same key and is served; one without a key has no way to ask again.
+     * A node aborts its connections or refuses with a retry delay. A caller with an idempotency key retries once at another
+     * node with the same key and is served, even if it cannot know whether its booking ran. Without a key there is no retry.
      */
     @ParameterizedTest
     @CsvSource({"true, true", "true, false", "false, true", "false, false"})
-    void asksAnotherNodeOnceUnderTheSameKey(boolean keyed, boolean breaks) throws Exception {
+    void asksAnotherNodeOnceUnderTheSameKey(boolean keyed, boolean abortsConnections) throws Exception {
         try (FakeNode wrong = FakeNode.start(true);
                 FakeNode right = FakeNode.start(true)) {
-            wrong.breaks = breaks;
-            wrong.refusesForNow = !breaks;
+            wrong.abortsConnections = abortsConnections;
+            wrong.refusesWithRetry = !abortsConnections;
             String kind = kind("book", false, ", idempotency_key: " + keyed);
             LoadReport report = run(file(wrong.url() + ", " + right.url(), kind, ""));
             GroupReport total = report.total();
             int missed = wrong.requests.size();
             assertThat(missed).isPositive();
             assertThat(total.served()).isEqualTo(keyed ? total.offered() : total.offered() - missed);
-            assertThat(total.lost()).isEqualTo(!keyed && breaks ? missed : 0);
-            assertThat(total.refused()).isEqualTo(!keyed && !breaks ? missed : 0);
+            assertThat(total.lost()).isEqualTo(!keyed && abortsConnections ? missed : 0);
+            assertThat(total.refused()).isEqualTo(!keyed && !abortsConnections ? missed : 0);
             assertThat(report.retried()).isEqualTo(keyed ? missed : 0);
             assertThat(right.keys).hasSize(keyed ? (int) total.offered() : 0).containsAll(wrong.keys);
         }
@@ -220,7 +220,7 @@
     @Test
     void asksNoThirdTime() throws Exception {
         try (FakeNode node = FakeNode.start(true)) {
-            node.refusesForNow = true;
+            node.refusesWithRetry = true;
             LoadReport report = run(file(node.url(), kind("book", false, ", idempotency_key: true"), ""));
             assertThat(report.total().refused())
                     .isEqualTo(report.total().offered())
--- a/wagtaillug-standin/src/test/java/org/wagtaillug/standin/platform/PlatformTest.java
+++ b/wagtaillug-standin/src/test/java/org/wagtaillug/standin/platform/PlatformTest.java
@@ -72,8 +72,8 @@
     }
 
     /**
-     * A node appends a record and hears nothing: the log took it, then the answer was lost. Whoever appends again has
-     * the record twice.
+     * An append whose answer is lost must still take effect: a node that gets no answer and appends again has the record
+     * twice.
      */
     @Test
     void anAppendTakesEffectThoughItsAnswerIsLost() throws Exception {
--- a/wagtaillug-standin/src/test/java/org/wagtaillug/standin/upstream/EngineTest.java
+++ b/wagtaillug-standin/src/test/java/org/wagtaillug/standin/upstream/EngineTest.java
@@ -152,8 +152,8 @@
     }
 
     /**
-     * A caller gives up on a request that has not got its first token. Its engine sends nothing yet, so no write fails,
-     * and without a look at the connection the slot would stay taken to the end of the prompt's work.
+     * Guards against a slot that stays occupied after its caller has disconnected before the first token. The engine has
+     * not written anything by then, so no write fails; the disconnect is found only by checking the connection.
      */
     @Test
     void aClosedConnectionFreesTheSlotBeforeTheFirstToken() throws Exception {
