--- a/wagtaillug-benchmarks/src/main/java/org/wagtaillug/benchmarks/ControlBenchmark.java
+++ b/wagtaillug-benchmarks/src/main/java/org/wagtaillug/benchmarks/ControlBenchmark.java
@@ -23,7 +23,7 @@
 import org.wagtaillug.log.LogBatch;
 import org.wagtaillug.log.LogRecord;
 
-/** One configuration record: reading it from bytes and folding it in, among so many customers. */
+/** Decodes and applies a configuration record, by number of customer contracts in force. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -31,7 +31,7 @@
 @Measurement(iterations = 3, time = 1)
 @Fork(1)
 public class ControlBenchmark {
-    /** How many customers are in force. */
+    /** The number of customer contracts in force. */
     @Param({"5", "390"})
     public int customers;
 
@@ -40,12 +40,12 @@
     private long offset;
     private long base;
 
-    /** Fills the state. */
+    /** Creates the state with one contract per customer. */
     @Setup(Level.Iteration)
-    public void fill() {
+    public void populate() {
         state = new ControlState();
         for (int number = 0; number < customers; number++) {
-            fold(change("customer-" + number, 0));
+            apply(change("customer-" + number, 0));
         }
         base = offset;
     }
@@ -55,21 +55,21 @@
         return new LogRecord.Change(body.key(), base, body, new OperatorId("desk"), "change");
     }
 
-    private void fold(LogRecord record) {
+    private void apply(LogRecord record) {
         offset = state.through() + 1;
         state.apply(new LogBatch.Entry(offset, Instant.EPOCH, record));
     }
 
-    /** Decodes a change that wins and folds it in. */
+    /** Decodes a change and applies it; its base version is current, so it is accepted. */
     @Benchmark
     public long changeRead() {
         byte[] bytes = codec.encode(change("customer-" + (customers - 1), base));
-        fold(codec.decode(bytes));
+        apply(codec.decode(bytes));
         base = offset;
         return offset;
     }
 
-    /** The whole digest, as it is needed after each change. */
+    /** Computes the digest of the complete state, which is needed after each change. */
     @Benchmark
     public long digest() {
         return state.digest();
--- a/wagtaillug-benchmarks/src/main/java/org/wagtaillug/benchmarks/Fleet.java
+++ b/wagtaillug-benchmarks/src/main/java/org/wagtaillug/benchmarks/Fleet.java
@@ -14,7 +14,7 @@
 import org.wagtaillug.membership.Vm;
 import org.wagtaillug.routing.Upstreams;
 
-/** A pool of so many upstreams with plausible figures, all of which may take work. */
+/** A pool of a given number of upstreams with plausible load figures, all of which accept attempts. */
 final class Fleet implements Upstreams {
     private static final int DOMAINS = 5;
     private final List<Vm> vms = new ArrayList<>();
@@ -68,17 +68,17 @@
 
     @Override
     public void progressed(VmId upstream, Duration sinceStart, Instant now) {
-        // Not measured here.
+        // Not part of the measurement.
     }
 
     @Override
     public void finished(VmId upstream, UpstreamOutcome finish, Duration took, Instant now) {
-        // Not measured here.
+        // Not part of the measurement.
     }
 
     @Override
     public void want(PoolId pool, int attempts) {
-        // Not measured here.
+        // Not part of the measurement.
     }
 
     @Override
--- a/wagtaillug-benchmarks/src/main/java/org/wagtaillug/benchmarks/GrantBenchmark.java
+++ b/wagtaillug-benchmarks/src/main/java/org/wagtaillug/benchmarks/GrantBenchmark.java
@@ -28,7 +28,7 @@
 import org.wagtaillug.node.Effect;
 import org.wagtaillug.node.Effects;
 
-/** One renewal of allowances at an owner: so many holders in turn ask for the owner's upstreams. */
+/** Renews allowances at an owner; the given number of holders ask in turn for the owner's upstreams. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -36,11 +36,11 @@
 @Measurement(iterations = 3, time = 1)
 @Fork(1)
 public class GrantBenchmark {
-    /** How many nodes ask. */
+    /** The number of nodes that ask. */
     @Param({"9", "340"})
     public int holders;
 
-    /** How many upstreams the owner has. */
+    /** The number of upstreams of the owner. */
     @Param({"3", "16"})
     public int upstreams;
 
@@ -51,7 +51,7 @@
     private Instant now = Instant.EPOCH;
     private long sequence;
 
-    /** Makes the owner and its roster. */
+    /** Creates the owner and its roster. */
     @Setup
     public void owner() {
         for (int number = 0; number < holders; number++) {
@@ -67,7 +67,7 @@
         }
     }
 
-    /** Answers one ask. */
+    /** Answers one grant ask. */
     @Benchmark
     public List<Effect> renewal() {
         sequence++;
--- a/wagtaillug-benchmarks/src/main/java/org/wagtaillug/benchmarks/NodeAtSize.java
+++ b/wagtaillug-benchmarks/src/main/java/org/wagtaillug/benchmarks/NodeAtSize.java
@@ -47,10 +47,11 @@
 import org.wagtaillug.result.ResultCode;
 
 /**
- * What control costs one node of a fleet of a given size: processor time, heap and bytes a second, at a rate of requests.
+ * Measures the control cost of one node in a fleet of a given size: CPU time, heap and bytes per second, at a given request
+ * rate.
  *
- * <p>One node is driven; what the platform and the other nodes would say to it is scripted, at the rates at which real ones
- * say it. Time is counted in ticks, so a minute of the node's life takes as long as the node needs for it.
+ * <p>Drives a single node. The messages of the platform and of the other nodes are simulated at their real rates. Time is
+ * simulated in ticks, so a minute of simulated time takes as long as the node needs to process it.
  *
  * <pre>{@code ./benchmark size 340 740 390 24}</pre>
  */
@@ -60,13 +61,13 @@
     private static final Duration ASK_PERIOD = Duration.ofMillis(500);
     private static final int WARM_UP_SECONDS = 30;
     private static final int MEASURED_SECONDS = 60;
-    private static final int MOST_ALLOWED = 10;
+    private static final int MAX_ALLOWANCE = 10;
     private static final Duration PROGRESS_PERIOD = Duration.ofMillis(200);
-    private static final Duration STAGE_TAKES = Duration.ofMillis(20);
-    private static final Duration GENERATE_TAKES = Duration.ofSeconds(2);
+    private static final Duration STAGE_DURATION = Duration.ofMillis(20);
+    private static final Duration GENERATE_DURATION = Duration.ofSeconds(2);
     private static final int DOMAINS = 5;
     private static final double MIB = 1024.0 * 1024.0;
-    /** The pools and the share of all upstreams that each has, in percent. */
+    /** The pools and their share of all upstreams, in percent. */
     private static final Map<String, Integer> POOLS = Map.of(
             "generate",
             60,
@@ -109,7 +110,7 @@
     private Instant nextProgress = START;
     private final PriorityQueue<Ending> endings = new PriorityQueue<>();
 
-    /** An attempt that ends at a given time. */
+    /** The scheduled end of an attempt. */
     private record Ending(Instant at, long order, AttemptId attempt) implements Comparable<Ending> {
         @Override
         public int compareTo(Ending other) {
@@ -134,7 +135,7 @@
         node = new Node(NodeSetup.builder(self, address(0)).build());
     }
 
-    /** Measures one size: nodes, upstreams, customers, requests a second at this node. */
+    /** Measures one size, given as nodes, upstreams, customers and requests per second at this node. */
     public static void main(String[] arguments) {
         int[] sizes = new int[arguments.length];
         for (int index = 0; index < sizes.length; index++) {
@@ -151,15 +152,15 @@
 
     private void run() {
         long before = heap();
-        fill();
-        live(WARM_UP_SECONDS);
+        populate();
+        simulate(WARM_UP_SECONDS);
         served = 0;
         refusals.clear();
         long bytesOutBefore = bytesOut;
         long bytesInBefore = bytesIn;
         long messagesOutBefore = messagesOut;
         long messagesInBefore = messagesIn;
-        long cpu = live(MEASURED_SECONDS);
+        long cpu = simulate(MEASURED_SECONDS);
         double heapMib = (heap() - before) / MIB;
         System.out.println(String.format(
                 Locale.ROOT,
@@ -188,7 +189,7 @@
         return ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed();
     }
 
-    private void fill() {
+    private void populate() {
         for (int number = 1; number < nodes; number++) {
             NodeId peer = peers.get(number - 1);
             control.add(new LogRecord.RosterChange(
@@ -211,34 +212,34 @@
         }
     }
 
-    /** Lets the node live for so many seconds; gives the processor time of its own part, in nanoseconds. */
-    private long live(int seconds) {
+    /** Simulates a number of seconds; returns the CPU time spent in the node, in nanoseconds. */
+    private long simulate(int seconds) {
         long spent = 0;
         Instant end = now.plusSeconds(seconds);
-        Instant nextAsks = now;
+        Instant nextAsksAt = now;
         while (now.isBefore(end)) {
             now = now.plus(TICK);
-            if (!now.isBefore(nextAsks)) {
-                nextAsks = nextAsks.plus(ASK_PERIOD);
-                othersAsk();
+            if (!now.isBefore(nextAsksAt)) {
+                nextAsksAt = nextAsksAt.plus(ASK_PERIOD);
+                receivePeerMessages();
             }
-            arrive();
+            addDueEvents();
             due.addLast(new Event.Tick());
             while (!due.isEmpty()) {
                 Event event = due.removeFirst();
-                long begun = ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
+                long startedAt = ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
                 List<Effect> effects = node.handle(event, now);
-                spent += ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime() - begun;
-                effects.forEach(this::carryOut);
+                spent += ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime() - startedAt;
+                effects.forEach(this::apply);
             }
         }
         return spent;
     }
 
-    /** Requests come evenly, attempts end when their time is over. */
-    private void arrive() {
-        long wanted = Duration.between(START, now).toMillis() * rate / 1000;
-        while (requests < wanted) {
+    /** Adds the events that are due: evenly spaced requests, and the progress and end of attempts. */
+    private void addDueEvents() {
+        long expected = Duration.between(START, now).toMillis() * rate / 1000;
+        while (requests < expected) {
             requests++;
             CustomerId customer = new CustomerId("customer-" + requests % customers);
             RequestId id = new RequestId("request-" + requests);
@@ -256,12 +257,15 @@
     }
 
     private void start(Attempt attempt) {
-        Duration takes = attempt.stage().work() == StageWork.GENERATE ? GENERATE_TAKES : STAGE_TAKES;
-        endings.add(new Ending(now.plus(takes), endings.size(), attempt.id()));
+        Duration duration = attempt.stage().work() == StageWork.GENERATE ? GENERATE_DURATION : STAGE_DURATION;
+        endings.add(new Ending(now.plus(duration), endings.size(), attempt.id()));
     }
 
-    /** Every holder that uses one of this node's upstreams asks for it; each holder uses a limited part of each pool. */
-    private void othersAsk() {
+    /**
+     * Sends the grant asks and probes of the other nodes. Every holder that uses an upstream of this node asks for it; each
+     * holder uses a limited part of each pool.
+     */
+    private void receivePeerMessages() {
         owned = 0;
         Map<NodeId, List<PeerMessage.GrantDemand>> demands = new HashMap<>();
         Map<PoolId, Integer> sizes = new HashMap<>();
@@ -303,7 +307,7 @@
         due.addLast(new Event.PeerMessageReceived(sender, message));
     }
 
-    private void carryOut(Effect effect) {
+    private void apply(Effect effect) {
         switch (effect) {
             case Effect.ReadLog read -> due.addLast(read(read));
             case Effect.AppendToLog append -> append(append);
@@ -315,7 +319,7 @@
             case Effect.AnswerRefused refused ->
                 refusals.merge(refused.refusal().code(), 1, Integer::sum);
             default -> {
-                // The others cost the frame, not control.
+                // Other effects cost I/O, which is not part of the control cost.
             }
         }
     }
@@ -354,7 +358,7 @@
                                 probe.sequence(), position(), Optional.of(Duration.ofMillis(200)), true, true));
             case PeerMessage.GrantAsk ask -> receive(peer, reply(ask));
             default -> {
-                // Answers to what was scripted.
+                // Answers to simulated messages.
             }
         }
     }
@@ -364,7 +368,7 @@
         for (PeerMessage.GrantDemand demand : ask.demands()) {
             offers.add(new PeerMessage.GrantOffer(
                     demand.upstream(),
-                    Math.min(MOST_ALLOWED, demand.wanted()),
+                    Math.min(MAX_ALLOWANCE, demand.wanted()),
                     Duration.ofSeconds(2),
                     false,
                     Optional.of(report())));
--- a/wagtaillug-benchmarks/src/main/java/org/wagtaillug/benchmarks/RoutingBenchmark.java
+++ b/wagtaillug-benchmarks/src/main/java/org/wagtaillug/benchmarks/RoutingBenchmark.java
@@ -20,7 +20,7 @@
 import org.wagtaillug.routing.Choice;
 import org.wagtaillug.routing.LeastCompletionPolicy;
 
-/** One choice among all upstreams of a pool; the worst case is a pool that holds the whole fleet. */
+/** Chooses among all upstreams of a pool; the worst case is a pool that contains the whole fleet. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -28,7 +28,7 @@
 @Measurement(iterations = 3, time = 1)
 @Fork(1)
 public class RoutingBenchmark {
-    /** How many upstreams the pool has. */
+    /** The number of upstreams in the pool. */
     @Param({"12", "74", "740"})
     public int upstreams;
 
@@ -36,13 +36,13 @@
             Stage.builder("generate").work(StageWork.GENERATE).build();
     private LeastCompletionPolicy policy;
 
-    /** Makes the pool. */
+    /** Creates the pool. */
     @Setup
     public void pool() {
         policy = new LeastCompletionPolicy(new Fleet("generate", upstreams), new DomainId("domain-1"));
     }
 
-    /** Chooses, with a prefix to look for. */
+    /** Chooses an upstream for a request with a prompt prefix. */
     @Benchmark
     public Choice choose() {
         return policy.choose(stage, "weekly-brief", Set.of(), Instant.EPOCH);
--- a/wagtaillug-benchmarks/src/main/java/org/wagtaillug/benchmarks/package-info.java
+++ b/wagtaillug-benchmarks/src/main/java/org/wagtaillug/benchmarks/package-info.java
@@ -1,2 +1,2 @@
-/** Benchmarks of the decisions that are made most often, at today's size and at that of two years from now. */
+/** Benchmarks of the most frequent decisions, at the current fleet size and at the size expected in two years. */
 package org.wagtaillug.benchmarks;
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/experiment/RunFolder.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/experiment/RunFolder.java
@@ -25,8 +25,7 @@
  * @param counters the counters of the upstreams, by name of the reading and of the upstream
  * @param actions the actions executed by the script
  * @param domainOutAt when the log service accepted the change that took a failure domain out of service, in Unix
- *     milliseconds;
- *     empty if there was none
+ *     milliseconds; empty if there was none
  * @param digests the configuration digests of the nodes at the end
  */
 record RunFolder(
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/load/LoadFile.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/load/LoadFile.java
@@ -46,15 +46,13 @@
  * @param nodes the base URLs of the nodes
  * @param duration how long to send, including the warm-up
  * @param warmUp the initial period whose requests are not counted and whose rate increases linearly from zero; 0s by
- *     default; a
- *     burst must start after it
+ *     default; a burst must start after it
  * @param rate requests per second
  * @param burst a period with a higher rate; absent for none
  * @param customers the customers; a share is a relative weight
  * @param kinds the kinds of request; a share is a relative weight
  * @param ledgers plain services whose {@code /executions} are read at the end to find keys that ran twice, or ran although
- *     the
- *     request was refused as not run; empty by default
+ *     the request was refused as not run; empty by default
  * @param faults calls to make during the run, usually to inject faults; empty by default
  */
 public record LoadFile(
@@ -119,8 +117,7 @@
      * @param input the input to send; absent for {@code inputWords} random words
      * @param inputWords the number of random words in the input; 20 by default
      * @param prefix the name of a common input prefix, sent as {@code prefix}. The input starts with random words that
-     *     depend
-     *     on this name only. Absent for none
+     *     depend on this name only. Absent for none
      * @param prefixes the number of prefixes per customer, numbered from 0; 1 by default, without a number and common to all
      *     customers
      */
--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/load/LoadReport.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/load/LoadReport.java
@@ -21,8 +21,7 @@
  * @param faults the timed calls and their results
  * @param seconds the outcomes of the requests scheduled in each second
  * @param misses the first requests after the warm-up that were not served in time, and all requests whose number of
- *     executions
- *     contradicts their answer
+ *     executions contradicts their answer
  * @param notRun the ids of all requests refused as not run
  */
 public record LoadReport(
