--- a/wagtaillug-standin/src/main/java/org/wagtaillug/standin/load/Schedule.java
+++ b/wagtaillug-standin/src/main/java/org/wagtaillug/standin/load/Schedule.java
@@ -7,8 +7,8 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Fixes beforehand when which request is sent: exponential gaps, so that arrivals bunch as those of many independent
- * callers do. The same file and seed give the same arrivals.
+ * Computes the send times of all requests in advance. Interarrival times are exponential (a Poisson process), so arrivals
+ * cluster like those of many independent callers. The same file and seed give the same arrivals.
  */
 final class Schedule {
     private static final double NANOS_PER_SECOND = 1e9;
