--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/DecisionLines.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/AsyncDecisionLog.java
@@ -14,43 +14,46 @@
 import org.wagtaillug.node.Decision;
 
 /**
- * Writes decisions as JSON lines on a thread of its own.
+ * Writes decisions as JSON lines on a separate thread.
  *
- * <p>Whoever reads the lines may be slow or stop; a decision that waited for it would hold up every request. What does not
- * fit into the queue is dropped and counted, and the count is written with the next line.
+ * <p>The reader of the log may be slow or stop reading; a control thread that waited for it would delay every request.
+ * Lines that do not fit into the queue are dropped and counted, and the count is written with the next line.
  */
-final class DecisionLines implements AutoCloseable {
+final class AsyncDecisionLog implements AutoCloseable {
     private static final Logger LOGGER = System.getLogger("wagtaillug.decision");
 
-    /** Some seconds of lines at the busiest: a request writes about five. */
+    /** Holds the lines of some seconds at peak load; a request writes about five. */
     private static final int MAX_QUEUED_LINES = 4096;
 
-    /** Lines of this time are written together: a wake-up and a write for each would cost more than the line. */
-    private static final long COLLECT_MILLIS = 50;
+    /**
+     * Lines are collected for this time and written together: one wake-up and one write for each line would cost more
+     * than the line itself.
+     */
+    private static final long COLLECTION_MILLIS = 50;
 
-    private static final long CLOSE_MILLIS = 200;
+    private static final long CLOSE_TIMEOUT_MILLIS = 200;
 
     private final BlockingQueue<Line> queue = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
     private final LongAdder dropped = new LongAdder();
     private final Thread writer;
-    private long reported;
+    private long reportedDrops;
 
     private record Line(Decision decision, Instant time) {}
 
-    DecisionLines() {
+    AsyncDecisionLog() {
         writer = new Thread(this::write, "decisions");
         writer.setDaemon(true);
         writer.start();
     }
 
-    /** Queues a line; never waits. */
+    /** Queues a line without blocking. */
     void add(Decision decision, Instant time) {
         if (!queue.offer(new Line(decision, time))) {
             dropped.increment();
         }
     }
 
-    /** How many lines were dropped so far. */
+    /** The number of lines dropped since the start. */
     long dropped() {
         return dropped.sum();
     }
@@ -60,14 +63,14 @@
             while (true) {
                 List<Line> lines = new ArrayList<>();
                 lines.add(queue.take());
-                TimeUnit.MILLISECONDS.sleep(COLLECT_MILLIS);
+                TimeUnit.MILLISECONDS.sleep(COLLECTION_MILLIS);
                 queue.drainTo(lines);
                 write(lines);
             }
         } catch (InterruptedException closed) {
-            List<Line> last = new ArrayList<>();
-            queue.drainTo(last);
-            write(last);
+            List<Line> remaining = new ArrayList<>();
+            queue.drainTo(remaining);
+            write(remaining);
             Thread.currentThread().interrupt();
         }
     }
@@ -76,10 +79,10 @@
         LogSetup.writeTogether(() -> {
             for (Line line : lines) {
                 LogFields.Builder fields = fields(line);
-                long lost = dropped.sum();
-                if (lost > reported) {
-                    fields.text("lines_dropped_before", Long.toString(lost - reported));
-                    reported = lost;
+                long total = dropped.sum();
+                if (total > reportedDrops) {
+                    fields.text("lines_dropped_before", Long.toString(total - reportedDrops));
+                    reportedDrops = total;
                 }
                 LOGGER.log(Level.INFO, "{0}", fields.build());
             }
@@ -94,12 +97,12 @@
         return fields;
     }
 
-    /** Writes what is queued, for as long as that takes within a limit. */
+    /** Writes the queued lines, waiting no longer than a fixed time-out. */
     @Override
     public void close() {
         writer.interrupt();
         try {
-            writer.join(CLOSE_MILLIS);
+            writer.join(CLOSE_TIMEOUT_MILLIS);
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/BatchCaller.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/BatchCaller.java
@@ -17,14 +17,14 @@
 import org.wagtaillug.serving.ServingEffect;
 import org.wagtaillug.serving.ServingEvent;
 
-/** Calls stage servers. */
+/** Sends batch calls and releases to stage servers. */
 final class BatchCaller {
     private static final Logger LOGGER = System.getLogger(BatchCaller.class.getName());
 
-    /** A batch of handles is some kilobytes. */
-    private static final int LONGEST_ANSWER = 1024 * 1024;
+    /** The handles of a batch take some kilobytes. */
+    private static final int MAX_ANSWER_BYTES = 1024 * 1024;
 
-    /** A release needs no turn at the server; what is not released goes by its lifetime. */
+    /** A release does not wait for a slot at the server; results that are not released expire with their lifetime. */
     private static final int RELEASE_TIMEOUT_MILLIS = 1000;
 
     private static final int OK = 200;
@@ -40,11 +40,11 @@
         this.events = events;
     }
 
-    /** Makes a call; one event says how it ended. */
+    /** Sends a call; its end is reported by one event. */
     void call(BatchCall call) {
         request(call.upstream(), translation.callPath(), translation.call(call))
                 .timeout(call.timeout().toMillis(), TimeUnit.MILLISECONDS)
-                .send(new BufferingResponseListener(LONGEST_ANSWER) {
+                .send(new BufferingResponseListener(MAX_ANSWER_BYTES) {
                     @Override
                     public void onComplete(Result result) {
                         events.accept(new ServingEvent.BatchCallEnded(call.number(), end(call, result, getContent())));
@@ -54,28 +54,29 @@
 
     private BatchCallEnd end(BatchCall call, Result result, byte[] content) {
         if (result.isFailed()) {
-            return new BatchCallEnd.Broken(FaultText.of(result.getFailure()));
+            return new BatchCallEnd.Broken(FailureText.of(result.getFailure()));
         }
         byte[] body = content == null ? new byte[0] : content;
         return translation.answer(
                 call, result.getResponse().getStatus(), result.getResponse().getHeaders(), body);
     }
 
-    /** Tells a server that results are not needed any more; one event says whether it has heard. */
+    /** Tells a server that results are no longer needed; one event reports whether the server has confirmed it. */
     void release(ServingEffect.ReleaseResults release) {
         request(release.maker(), translation.releasePath(), translation.release(release.handles()))
                 .timeout(RELEASE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
                 .send(result -> {
-                    boolean done = result.isSucceeded() && result.getResponse().getStatus() == OK;
-                    if (!done) {
+                    boolean confirmed =
+                            result.isSucceeded() && result.getResponse().getStatus() == OK;
+                    if (!confirmed) {
                         LOGGER.log(
                                 Level.INFO,
-                                "{0} was not told of {1} results that are not needed: {2}",
+                                "{0} did not confirm the release of {1} results: {2}",
                                 release.maker().id(),
                                 release.handles().size(),
-                                FaultText.of(result.getFailure()));
+                                FailureText.of(result.getFailure()));
                     }
-                    events.accept(new ServingEvent.ReleaseEnded(release.release(), done));
+                    events.accept(new ServingEvent.ReleaseEnded(release.release(), confirmed));
                 });
     }
 
@@ -83,7 +84,7 @@
         return client.newRequest(upstream.host(), upstream.port())
                 .method(HttpMethod.POST)
                 .path(path)
-                .headers(head -> translation.expect(upstream, head))
+                .headers(headers -> translation.expect(upstream, headers))
                 .body(new BytesRequestContent(JSON, body));
     }
 }
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/CallerConnections.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/CallerConnections.java
@@ -11,62 +11,66 @@
 import org.eclipse.jetty.server.ServerConnector;
 
 /**
- * The connections of callers, and how they end with the node: after their next answer or, if no request comes, once the
- * balancer has noticed. Safe for use by several threads.
+ * Tracks the connections of callers and closes them at shutdown: after the next answer or, without further requests,
+ * once the load balancer has removed the node. Thread-safe.
  */
 final class CallerConnections {
-    /** Callers reuse connections that were idle for four fifths of what their limits say, 15 s or less. */
-    static final Duration IDLE = Duration.ofSeconds(60);
+    /**
+     * Callers reuse connections that were idle for up to four fifths of the idle timeout in their limits, but for at
+     * most 15 s.
+     */
+    static final Duration IDLE_TIMEOUT = Duration.ofSeconds(60);
 
-    /** How long a connection has to be silent to be closed while the node ends; the head of a request may come in parts. */
-    private static final Duration IDLE_WHILE_ENDING = Duration.ofMillis(800);
+    /** Idle time after which a connection is closed during shutdown; the header of a request may arrive in parts. */
+    private static final Duration SHUTDOWN_IDLE_TIMEOUT = Duration.ofMillis(800);
 
     private final Map<Request, EndPoint> open = new HashMap<>();
-    private volatile boolean closing;
+    private volatile boolean closingAfterAnswers;
     private boolean closingIdle;
 
-    /** Takes in a request whose head has been read. */
+    /** Registers a request whose header has been read. */
     synchronized void onRequest(Request request) {
         EndPoint endPoint = request.getConnectionMetaData().getConnection().getEndPoint();
         open.put(request, endPoint);
         Request.addCompletionListener(request, failure -> onCompleted(request));
-        if (closing) {
-            // A caller may be slow to read its answer or to send its body; only silence between requests ends sooner.
-            endPoint.setIdleTimeout(IDLE.toMillis());
+        if (closingAfterAnswers) {
+            // A caller may be slow to read its answer or to send its body; only idle connections between requests get
+            // the short timeout.
+            endPoint.setIdleTimeout(IDLE_TIMEOUT.toMillis());
         }
     }
 
     private synchronized void onCompleted(Request request) {
         EndPoint endPoint = open.remove(request);
         if (closingIdle && endPoint != null) {
-            // The head of its answer may have gone out before the word to close.
-            endPoint.setIdleTimeout(IDLE_WHILE_ENDING.toMillis());
+            // The header of its answer may have been sent before the connection was marked for closing.
+            endPoint.setIdleTimeout(SHUTDOWN_IDLE_TIMEOUT.toMillis());
         }
         notifyAll();
     }
 
-    /** Adds to the head of an answer what its connection needs. */
-    void onAnswer(Response response) {
-        if (closing) {
+    /** Adds the connection header to an answer if its connection is to be closed. */
+    void addCloseHeader(Response response) {
+        if (closingAfterAnswers) {
             response.getHeaders().put(HttpHeader.CONNECTION, "close");
         }
     }
 
-    /** From now on every answer closes its connection, so that callers go to other nodes. */
+    /** Closes each connection after its next answer, so that callers connect to other nodes. */
     void closeAfterAnswers() {
-        closing = true;
+        closingAfterAnswers = true;
     }
 
     /**
-     * Closes connections that no request is on. A caller keeps such a connection for long after the balancer has taken the
-     * node out, and a request that it then sends may come too late to be answered. The server's own idle timeout closes
-     * them, since it never does so once it has read the head of a request.
+     * Closes connections without an open request. A caller keeps such a connection long after the load balancer has
+     * removed the node, and a request that it sends then may arrive too late to be answered. The connections are closed
+     * by the idle timeout of the server, which never closes a connection once it has read the header of a request.
      */
     synchronized void closeIdle(ServerConnector connector) {
         closingIdle = true;
         for (EndPoint endPoint : connector.getConnectedEndPoints()) {
             if (!open.containsValue(endPoint)) {
-                endPoint.setIdleTimeout(IDLE_WHILE_ENDING.toMillis());
+                endPoint.setIdleTimeout(SHUTDOWN_IDLE_TIMEOUT.toMillis());
             }
         }
     }
@@ -74,17 +78,17 @@
     /**
      * Waits until the last byte of each answer is written.
      *
-     * @param millis how long at most
-     * @return whether all are written
+     * @param timeoutMillis the maximum wait
+     * @return whether all answers are written
      */
-    synchronized boolean awaitWritten(long millis) throws InterruptedException {
-        long over = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
+    synchronized boolean awaitWritten(long timeoutMillis) throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
         while (!open.isEmpty()) {
-            long left = TimeUnit.NANOSECONDS.toMillis(over - System.nanoTime());
-            if (left <= 0) {
+            long remainingMillis = TimeUnit.NANOSECONDS.toMillis(deadlineNanos - System.nanoTime());
+            if (remainingMillis <= 0) {
                 return false;
             }
-            wait(left);
+            wait(remainingMillis);
         }
         return true;
     }
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/CallerWatch.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/CallerWatch.java
@@ -11,64 +11,64 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * Notices that a caller closes its connection while its request is being worked on.
+ * Detects that a caller closes its connection while its request is being processed.
  *
- * <p>The server does not read from a connection between a whole request and its answer, so it would notice only when a
- * write fails, and upstreams would go on working for nobody. Watching reads the connection itself meanwhile, and gives
- * back what it reads if a caller sends its next request early. It must end before the last byte of the answer goes out:
- * after it the server reads again.
+ * <p>The server does not read from a connection between a complete request and its answer. It would detect the
+ * disconnect only when a write fails, and upstreams would keep working on a request that nobody waits for. The watch
+ * therefore reads the connection itself in the meantime, and hands the bytes of a pipelined request back to the server.
+ * It must be stopped before the last byte of the answer is written, because the server reads again from then on.
  */
 final class CallerWatch implements Callback {
-    private static final int EARLY_BYTES = 16_384;
+    private static final int PIPELINED_BYTES = 16_384;
 
     private final Connection connection;
     private final AbstractEndPoint endPoint;
-    private final Runnable gone;
+    private final Runnable onDisconnect;
     private boolean watching = true;
 
-    private CallerWatch(Connection connection, AbstractEndPoint endPoint, Runnable gone) {
+    private CallerWatch(Connection connection, AbstractEndPoint endPoint, Runnable onDisconnect) {
         this.connection = connection;
         this.endPoint = endPoint;
-        this.gone = gone;
+        this.onDisconnect = onDisconnect;
     }
 
-    /** Begins to watch the connection of a request whose body has been read; {@code gone} runs at most once. */
-    static CallerWatch begin(Request request, Runnable gone) {
+    /** Starts watching the connection of a request whose body has been read; {@code onDisconnect} runs at most once. */
+    static CallerWatch start(Request request, Runnable onDisconnect) {
         Connection connection = request.getConnectionMetaData().getConnection();
         EndPoint endPoint = connection.getEndPoint();
-        if (!(endPoint instanceof AbstractEndPoint plain)) {
+        if (!(endPoint instanceof AbstractEndPoint abstractEndPoint)) {
             throw new IllegalStateException("a connection of type " + endPoint.getClass() + " cannot be watched");
         }
-        CallerWatch watch = new CallerWatch(connection, plain, gone);
-        plain.tryFillInterested(watch);
+        CallerWatch watch = new CallerWatch(connection, abstractEndPoint, onDisconnect);
+        abstractEndPoint.tryFillInterested(watch);
         return watch;
     }
 
-    /** Ends the watch; from now on the server may read. */
-    void end() {
+    /** Stops the watch, so that the server may read again. */
+    void stop() {
         synchronized (this) {
             if (!watching) {
                 return;
             }
             watching = false;
         }
-        endPoint.getFillInterest().onFail(new CancellationException("the watch has ended"));
+        endPoint.getFillInterest().onFail(new CancellationException("the watch was stopped"));
     }
 
     @Override
     public void succeeded() {
-        if (readable()) {
-            gone.run();
+        if (readDisconnect()) {
+            onDisconnect.run();
         }
     }
 
-    /** Whether the caller is gone. */
-    private synchronized boolean readable() {
+    /** Reads available bytes; returns whether the caller has disconnected. */
+    private synchronized boolean readDisconnect() {
         if (!watching) {
             return false;
         }
-        ByteBuffer early = BufferUtil.allocate(EARLY_BYTES);
-        int filled = fill(early);
+        ByteBuffer pipelined = BufferUtil.allocate(PIPELINED_BYTES);
+        int filled = fill(pipelined);
         if (filled < 0) {
             watching = false;
             return true;
@@ -78,8 +78,8 @@
             return false;
         }
         watching = false;
-        if (connection instanceof Connection.UpgradeTo reader) {
-            reader.onUpgradeTo(early);
+        if (connection instanceof Connection.UpgradeTo upgradable) {
+            upgradable.onUpgradeTo(pipelined);
         }
         return false;
     }
@@ -94,13 +94,13 @@
 
     @Override
     public void failed(Throwable cause) {
-        boolean broke;
+        boolean connectionFailed;
         synchronized (this) {
-            broke = watching && !(cause instanceof CancellationException);
-            watching = watching && !broke;
+            connectionFailed = watching && !(cause instanceof CancellationException);
+            watching = watching && !connectionFailed;
         }
-        if (broke) {
-            gone.run();
+        if (connectionFailed) {
+            onDisconnect.run();
         }
     }
 
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/ConnectionHeaders.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/ConnectionHeaders.java
@@ -7,9 +7,9 @@
 import org.eclipse.jetty.http.HttpFields;
 import org.eclipse.jetty.http.HttpHeader;
 
-/** Leaves out what concerns one connection only, as a request or an answer goes on over another one. */
+/** Removes hop-by-hop headers from a request or an answer that is forwarded over another connection. */
 final class ConnectionHeaders {
-    private static final Set<String> OF_ONE_CONNECTION = Set.of(
+    private static final Set<String> HOP_BY_HOP = Set.of(
             "connection",
             "keep-alive",
             "proxy-connection",
@@ -24,18 +24,18 @@
 
     private ConnectionHeaders() {}
 
-    /** The fields that go on; the length is the frame's to set. */
-    static HttpFields without(HttpFields fields) {
-        Set<String> named = new HashSet<>(OF_ONE_CONNECTION);
+    /** Returns the headers to forward, without a content length, which is set for the new connection. */
+    static HttpFields forwardable(HttpFields fields) {
+        Set<String> removed = new HashSet<>(HOP_BY_HOP);
         for (String value : fields.getCSV(HttpHeader.CONNECTION, false)) {
-            named.add(value.toLowerCase(Locale.ROOT));
+            removed.add(value.toLowerCase(Locale.ROOT));
         }
-        HttpFields.Mutable kept = HttpFields.build();
+        HttpFields.Mutable forwarded = HttpFields.build();
         for (HttpField field : fields) {
-            if (!named.contains(field.getLowerCaseName())) {
-                kept.add(field);
+            if (!removed.contains(field.getLowerCaseName())) {
+                forwarded.add(field);
             }
         }
-        return kept;
+        return forwarded;
     }
 }
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/EventSplitter.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/EventSplitter.java
@@ -6,58 +6,58 @@
 import java.util.Optional;
 
 /**
- * Cuts a stream of server-sent events into whole events.
+ * Splits a stream of server-sent events into complete events.
  *
- * <p>An upstream may die in the middle of an event. Half an event that is passed on could not be taken back when another
- * upstream goes on after the last whole one, and would show as a torn or doubled piece.
+ * <p>An upstream may crash in the middle of an event. A partial event that was already forwarded could not be withdrawn
+ * when another upstream resumes after the last complete one; the caller would see a torn or duplicated part.
  */
 final class EventSplitter {
-    private static final String ID = "id:";
+    private static final String ID_PREFIX = "id:";
 
     private final ByteArrayOutputStream partial = new ByteArrayOutputStream();
-    private Optional<String> lastId = Optional.empty();
+    private Optional<String> lastEventId = Optional.empty();
     private boolean lineEmpty = true;
 
-    /** Takes bytes; gives all events that are whole now, or nothing. */
-    byte[] take(ByteBuffer bytes) {
-        ByteArrayOutputStream whole = new ByteArrayOutputStream();
+    /** Appends bytes; returns all events that are complete now, or an empty array. */
+    byte[] append(ByteBuffer bytes) {
+        ByteArrayOutputStream complete = new ByteArrayOutputStream();
         while (bytes.hasRemaining()) {
-            byte each = bytes.get();
-            partial.write(each);
-            if (each == '\r') {
+            byte next = bytes.get();
+            partial.write(next);
+            if (next == '\r') {
                 continue;
             }
-            boolean endsEvent = each == '\n' && lineEmpty;
-            lineEmpty = each == '\n';
+            boolean endsEvent = next == '\n' && lineEmpty;
+            lineEmpty = next == '\n';
             if (endsEvent) {
                 byte[] event = partial.toByteArray();
                 partial.reset();
-                whole.writeBytes(event);
-                noteId(event);
+                complete.writeBytes(event);
+                recordId(event);
             }
         }
-        return whole.toByteArray();
+        return complete.toByteArray();
     }
 
-    private void noteId(byte[] event) {
+    private void recordId(byte[] event) {
         for (String line : new String(event, StandardCharsets.UTF_8).split("\r?\n")) {
-            if (line.startsWith(ID)) {
-                lastId = Optional.of(line.substring(ID.length()).strip());
+            if (line.startsWith(ID_PREFIX)) {
+                lastEventId = Optional.of(line.substring(ID_PREFIX.length()).strip());
             }
         }
     }
 
-    /** The id of the last whole event, of those that have one. */
-    Optional<String> lastId() {
-        return lastId;
+    /** Id of the last complete event that has one. */
+    Optional<String> lastEventId() {
+        return lastEventId;
     }
 
-    /** Whether the last event is whole. */
+    /** Whether the last event is complete. */
     boolean atBoundary() {
         return partial.size() == 0;
     }
 
-    /** What came of the last event, and forgets it. */
+    /** Returns the bytes of the incomplete last event and discards them. */
     byte[] rest() {
         byte[] rest = partial.toByteArray();
         partial.reset();
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/RefusedBody.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/RefusedBody.java
@@ -5,59 +5,60 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * The end of a request that is refused while its body is still on its way.
+ * Completes a request that is refused while its body is still being received.
  *
- * <p>Closing the connection with unread bytes would reset it, and the caller would lose what it has not read of the refusal:
- * the request ends when the refusal is written and the caller has stopped sending, or a little later.
+ * <p>Closing the connection with unread bytes would reset it, and the caller would lose the part of the refusal that it
+ * has not read yet. The request is therefore completed only when the refusal is written and the caller has stopped
+ * sending, or after a short linger time.
  */
 final class RefusedBody {
     private static final long LINGER_MILLIS = 150;
 
     private final Callback callback;
     private final Scheduler scheduler;
-    private boolean bodyOver;
+    private boolean bodyEnded;
     private boolean written;
     private boolean completed;
 
     /**
-     * A request whose body is being read.
+     * Creates the completion of a request whose body is being read.
      *
-     * @param callback ends the request
-     * @param scheduler runs the end of the lingering
+     * @param callback completes the request
+     * @param scheduler runs the end of the linger time
      */
     RefusedBody(Callback callback, Scheduler scheduler) {
         this.callback = callback;
         this.scheduler = scheduler;
     }
 
-    /** The caller has stopped sending. */
-    void onBodyOver() {
-        boolean completes;
+    /** Called when the caller has stopped sending. */
+    void onBodyEnded() {
+        boolean completedNow;
         synchronized (this) {
-            bodyOver = true;
-            completes = complete();
+            bodyEnded = true;
+            completedNow = completeIfFinished();
         }
-        if (completes) {
+        if (completedNow) {
             callback.succeeded();
         }
     }
 
-    /** The refusal is on its way to the caller. */
+    /** Called when the refusal is written. */
     void onWritten() {
-        boolean completes;
+        boolean completedNow;
         synchronized (this) {
             written = true;
-            completes = complete();
+            completedNow = completeIfFinished();
         }
-        if (completes) {
+        if (completedNow) {
             callback.succeeded();
             return;
         }
-        scheduler.schedule(this::onBodyOver, LINGER_MILLIS, TimeUnit.MILLISECONDS);
+        scheduler.schedule(this::onBodyEnded, LINGER_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** The refusal could not be written. */
-    void onFailed(Throwable fault) {
+    /** Called when the refusal could not be written. */
+    void onWriteFailed(Throwable fault) {
         synchronized (this) {
             if (completed) {
                 return;
@@ -67,9 +68,9 @@
         callback.failed(fault);
     }
 
-    /** Whether the request ends now. */
-    private boolean complete() {
-        if (completed || !written || !bodyOver) {
+    /** Marks the request as completed if both conditions are met; returns whether it did. */
+    private boolean completeIfFinished() {
+        if (completed || !written || !bodyEnded) {
             return false;
         }
         completed = true;
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/RoutedDaemon.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/RoutedDaemon.java
@@ -45,7 +45,8 @@
 import org.wagtaillug.settings.SettingsProblem;
 
 /**
- * A node that routes by host and path: the decisions, the frame around them, and their beginning and end.
+ * A node that routes by host and path: wires the decision logic to the listeners, the HTTP clients and the peer link,
+ * and manages their lifecycle.
  *
  * <pre>{@code
  * RoutedDaemon daemon = new RoutedDaemon(file, settings, decoder, client -> translation(client));
@@ -55,63 +56,68 @@
 public final class RoutedDaemon implements ProcessRun.Life {
     private static final Logger LOGGER = System.getLogger(RoutedDaemon.class.getName());
 
-    /** Callbacks do not block; on one core more threads only take memory. */
-    private static final int THREADS = 10;
+    /** Callbacks do not block; on a single core additional threads only use memory. */
+    private static final int MAX_THREADS = 10;
 
     private static final int SELECTORS = 1;
 
-    /** A link delays by a few milliseconds; an opening packet that is lost is sent again after a second. */
+    /** Network latency is a few milliseconds; a lost SYN packet is retransmitted only after a second. */
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(400);
 
-    /** Servers close idle connections after seconds; a connection that is closed first by us is never lost in between. */
-    private static final Duration UPSTREAM_IDLE = Duration.ofSeconds(2);
+    /**
+     * Upstreams close idle connections after seconds. Closing them here first avoids losing a request that is sent at
+     * the moment when the upstream closes its connection.
+     */
+    private static final Duration UPSTREAM_IDLE_TIMEOUT = Duration.ofSeconds(2);
 
-    /** What all nodes together may open to a server is shared out by the decisions; this is only a backstop. */
-    private static final int CONNECTIONS_EACH = 64;
+    /** The decision logic divides the connections of an upstream between the nodes; this limit is only a safeguard. */
+    private static final int MAX_CONNECTIONS_PER_UPSTREAM = 64;
 
-    private static final int QUEUED_EACH = 256;
+    private static final int MAX_QUEUED_PER_UPSTREAM = 256;
 
-    private static final int LONGEST_HEAD = 16_384;
-    private static final Duration LINK_SILENCE = Duration.ofSeconds(1);
+    private static final int MAX_HEADER_BYTES = 16_384;
+    private static final Duration MAX_LINK_SILENCE = Duration.ofSeconds(1);
 
-    /** Connections that are idle when the ports close, those of the balancer and of metrics too. */
-    private static final Duration IDLE_AT_STOP = Duration.ofMillis(50);
+    /**
+     * Applies to connections that are idle when the ports close, those of the load balancer and of metrics included.
+     */
+    private static final Duration STOP_IDLE_TIMEOUT = Duration.ofMillis(50);
 
-    /** How long the ports may take to close once all answers are written, at most. */
-    private static final Duration LONGEST_STOP = Duration.ofMillis(200);
+    /** Upper limit of the time to close the ports after all answers are written. */
+    private static final Duration MAX_STOP_TIMEOUT = Duration.ofMillis(200);
 
-    /** The same as a part of a short grace. */
-    private static final int STOP_PART_OF_GRACE = 16;
+    /** The same limit as a fraction of a short shutdown grace. */
+    private static final int STOP_GRACE_DIVISOR = 16;
 
-    private static final int READY = 200;
-    private static final int NOT_READY = 503;
+    private static final int OK = 200;
+    private static final int SERVICE_UNAVAILABLE = 503;
 
     private final Path file;
     private final RoutedSettings settings;
     private final MonotonicClock clock = new MonotonicClock();
-    private final QueuedThreadPool threads = new QueuedThreadPool(THREADS, 4);
+    private final QueuedThreadPool threads = new QueuedThreadPool(MAX_THREADS, 4);
     private final RoutedExchanges exchanges = new RoutedExchanges();
     private final RoutedMetrics metrics = new RoutedMetrics();
-    private final HttpClient kept;
-    private final HttpClient fresh;
+    private final HttpClient pooledClient;
+    private final HttpClient singleUseClient;
     private final Translation translation;
     private final ControlThread<Serving, ServingEvent, ServingEffect> control;
     private final NodeId self;
     private final Server server;
-    private DecisionLines decisions;
+    private AsyncDecisionLog decisions;
     private PeerLink link;
     private final CallerConnections connections = new CallerConnections();
-    private final AtomicReference<Instant> askedAt = new AtomicReference<>();
+    private final AtomicReference<Instant> shutdownRequestedAt = new AtomicReference<>();
     private ServerConnector callers;
     private RoutedHandler handler;
     private RoutedEffects effects;
 
     /**
-     * Prepares a node; nothing runs before {@link #start}.
+     * Creates a node; nothing runs before {@link #start}.
      *
-     * @param file where the settings were read from
-     * @param decoder reads the records of feeds
-     * @param translate makes the translation, with the client that it may use for the store
+     * @param file the file that the settings were read from
+     * @param decoder decodes the records of feeds
+     * @param translate creates the translation; receives the client to be used for requests to the store
      */
     public RoutedDaemon(
             Path file, RoutedSettings settings, RecordDecoder decoder, Function<HttpClient, Translation> translate) {
@@ -119,9 +125,9 @@
         this.settings = settings;
         threads.setName("traffic");
         self = new NodeId(settings.node().vm(), clock.now().toEpochMilli());
-        kept = client();
-        fresh = client();
-        translation = translate.apply(kept);
+        pooledClient = client();
+        singleUseClient = client();
+        translation = translate.apply(pooledClient);
         ServingSetup.Builder setup = ServingSetup.builder(self, settings.node().domain(), decoder)
                 .retryLimits(new ServingSetup.RetryLimits(
                         settings.repeats().window(),
@@ -145,29 +151,30 @@
         HttpClient client = new HttpClient(transport);
         client.setExecutor(threads);
         client.setConnectTimeout(CONNECT_TIMEOUT.toMillis());
-        client.setIdleTimeout(UPSTREAM_IDLE.toMillis());
-        client.setMaxConnectionsPerDestination(CONNECTIONS_EACH);
-        client.setMaxRequestsQueuedPerDestination(QUEUED_EACH);
+        client.setIdleTimeout(UPSTREAM_IDLE_TIMEOUT.toMillis());
+        client.setMaxConnectionsPerDestination(MAX_CONNECTIONS_PER_UPSTREAM);
+        client.setMaxRequestsQueuedPerDestination(MAX_QUEUED_PER_UPSTREAM);
         client.setFollowRedirects(false);
         client.setUserAgentField(null);
         return client;
     }
 
-    /** Starts everything; when it returns, all ports listen. */
+    /** Starts all components; on return, all ports accept connections. */
     @Override
     public void start() throws Exception {
         threads.start();
-        start(kept);
-        start(fresh);
-        decisions = new DecisionLines();
+        start(pooledClient);
+        start(singleUseClient);
+        decisions = new AsyncDecisionLog();
         handler = new RoutedHandler(translation.callers(), exchanges, connections, control::submit);
         link = openLink();
         effects = new RoutedEffects(new RoutedEffects.Parts(
                 exchanges,
                 handler,
                 () -> connections.closeIdle(callers),
-                new UpstreamCaller(kept, fresh, translation.upstreams(), exchanges, control::submit, clock::now),
-                new BatchCaller(kept, translation.stages(), control::submit),
+                new UpstreamCaller(
+                        pooledClient, singleUseClient, translation.upstreams(), exchanges, control::submit, clock::now),
+                new BatchCaller(pooledClient, translation.stages(), control::submit),
                 translation,
                 link,
                 settings.listen().link().port(),
@@ -178,10 +185,13 @@
                 clock::now));
         control.start(effects);
         listen();
-        LOGGER.log(Level.INFO, "node {0} listens", settings.node().name());
+        LOGGER.log(Level.INFO, "node {0} accepts connections", settings.node().name());
     }
 
-    /** Answers go on as they come: nothing in the client may follow, decode or answer by itself. */
+    /**
+     * Answers are forwarded unchanged: the client must not follow redirects, decode content or handle protocol
+     * responses itself.
+     */
     private static void start(HttpClient client) throws Exception {
         client.start();
         client.getContentDecoderFactories().clear();
@@ -191,7 +201,7 @@
     private PeerLink openLink() {
         return PeerLink.builder(self)
                 .bind(settings.listen().link().host(), settings.listen().link().port())
-                .longestSilence(LINK_SILENCE)
+                .longestSilence(MAX_LINK_SILENCE)
                 .observer(new LinkObserver() {
                     @Override
                     public void connected(VmId peer) {
@@ -234,7 +244,7 @@
     }
 
     private boolean readiness(Response response, Callback callback) {
-        response.setStatus(effects.ready() ? READY : NOT_READY);
+        response.setStatus(effects.ready() ? OK : SERVICE_UNAVAILABLE);
         response.write(true, null, callback);
         return true;
     }
@@ -250,78 +260,81 @@
         HttpConfiguration http = new HttpConfiguration();
         http.setSendServerVersion(false);
         http.setSendDateHeader(false);
-        http.setRequestHeaderSize(LONGEST_HEAD);
+        http.setRequestHeaderSize(MAX_HEADER_BYTES);
         ServerConnector connector =
                 new ServerConnector(server, null, null, null, 0, SELECTORS, new HttpConnectionFactory(http));
         connector.setHost(address.host());
         connector.setPort(address.port());
-        connector.setIdleTimeout(CallerConnections.IDLE.toMillis());
-        connector.setShutdownIdleTimeout(IDLE_AT_STOP.toMillis());
+        connector.setIdleTimeout(CallerConnections.IDLE_TIMEOUT.toMillis());
+        connector.setShutdownIdleTimeout(STOP_IDLE_TIMEOUT.toMillis());
         return connector;
     }
 
-    /** From now on the time runs in which the process has to end. */
+    /** Starts the shutdown grace period. */
     @Override
     public void askedToEnd() {
-        askedAt.compareAndSet(null, clock.now());
+        shutdownRequestedAt.compareAndSet(null, clock.now());
     }
 
     private Duration stopTimeout() {
-        Duration part = settings.shutdownGrace().dividedBy(STOP_PART_OF_GRACE);
-        return part.compareTo(LONGEST_STOP) < 0 ? part : LONGEST_STOP;
+        Duration fraction = settings.shutdownGrace().dividedBy(STOP_GRACE_DIVISOR);
+        return fraction.compareTo(MAX_STOP_TIMEOUT) < 0 ? fraction : MAX_STOP_TIMEOUT;
     }
 
     /**
-     * Ends without cutting a request. When it returns, everything that was begun is answered and written, or the time is
-     * over. While a slow caller still reads its answer, requests that fit into what is left are served.
+     * Shuts down gracefully. On return, all accepted requests are answered and the answers written, or the grace period
+     * is over. While a slow caller still reads its answer, new requests that fit into the remaining time are served.
      */
     @Override
     public void drain() throws InterruptedException {
-        LOGGER.log(Level.INFO, "node {0} shuts down", settings.node().name());
+        LOGGER.log(Level.INFO, "node {0} is shutting down", settings.node().name());
         askedToEnd();
-        Instant over = askedAt.get().plus(settings.shutdownGrace());
+        Instant graceEnd = shutdownRequestedAt.get().plus(settings.shutdownGrace());
         connections.closeAfterAnswers();
-        control.submit(new ServingEvent.DrainStarted(askedAt.get()));
-        boolean decided = effects.drained().await(left(over), TimeUnit.MILLISECONDS);
-        Instant stop = over.minus(stopTimeout());
-        connections.awaitWritten(left(stop.minus(stopTimeout())));
+        control.submit(new ServingEvent.DrainStarted(shutdownRequestedAt.get()));
+        boolean drained = effects.drained().await(millisUntil(graceEnd), TimeUnit.MILLISECONDS);
+        Instant stopAt = graceEnd.minus(stopTimeout());
+        connections.awaitWritten(millisUntil(stopAt.minus(stopTimeout())));
         control.submit(new ServingEvent.PortsClosing());
-        handler.refuseUnread();
-        boolean written = connections.awaitWritten(left(stop));
-        if (!decided || !written) {
+        handler.refuseIncomplete();
+        boolean answersWritten = connections.awaitWritten(millisUntil(stopAt));
+        if (!drained || !answersWritten) {
             LOGGER.log(
                     Level.WARNING,
-                    "node {0} did not finish in time",
+                    "node {0} did not finish all requests within the shutdown grace",
                     settings.node().name());
         }
     }
 
-    private long left(Instant until) {
+    private long millisUntil(Instant until) {
         return Math.max(0, Duration.between(clock.now(), until).toMillis());
     }
 
-    /** Says whether the settings file differs from what this process runs with; a restart takes what has changed. */
+    /** Logs whether the settings file differs from the settings of this process. Changes take effect at a restart. */
     @Override
     public void reload() {
-        Either<List<SettingsProblem>, RoutedSettings> read = RoutedSettings.load(file);
-        if (read.isLeft()) {
-            LOGGER.log(Level.ERROR, "reload: the settings are wrong, the old ones hold: {0}", read.getLeft());
+        Either<List<SettingsProblem>, RoutedSettings> loaded = RoutedSettings.load(file);
+        if (loaded.isLeft()) {
+            LOGGER.log(
+                    Level.ERROR,
+                    "reload: the settings file is invalid, the running settings stay in force: {0}",
+                    loaded.getLeft());
             return;
         }
-        String outcome = read.get().equals(settings) ? "nothing has changed" : "changes hold from the next start";
+        String outcome = loaded.get().equals(settings) ? "no changes" : "changes take effect at the next start";
         LOGGER.log(Level.INFO, "reload: {0}", outcome);
     }
 
-    /** Closes all ports and ends all threads. */
+    /** Closes all ports and stops all threads. */
     @Override
     public void stop() throws Exception {
         try {
             server.stop();
-        } catch (TimeoutException open) {
-            LOGGER.log(Level.WARNING, "connections were still open when the ports closed: {0}", open);
+        } catch (TimeoutException timeout) {
+            LOGGER.log(Level.WARNING, "connections were still open when the ports were closed: {0}", timeout);
         }
-        kept.stop();
-        fresh.stop();
+        pooledClient.stop();
+        singleUseClient.stop();
         link.close();
         control.close();
         decisions.close();
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/RoutedEffects.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/RoutedEffects.java
@@ -17,7 +17,7 @@
 import org.wagtaillug.serving.ServingEffect;
 import org.wagtaillug.serving.ServingEvent;
 
-/** Carries out the effects of a node. Runs on the control thread and blocks on nothing. */
+/** Carries out the effects of a node. Runs on the control thread and never blocks. */
 final class RoutedEffects implements Consumer<ServingEffect> {
     private static final Logger LOGGER = System.getLogger(RoutedEffects.class.getName());
 
@@ -25,19 +25,19 @@
     private final CountDownLatch drained = new CountDownLatch(1);
     private volatile boolean ready;
 
-    /** What effects are carried out with. */
+    /** The components that carry out the effects. */
     record Parts(
             RoutedExchanges exchanges,
             RoutedHandler handler,
             Runnable closeIdleConnections,
             UpstreamCaller upstreams,
-            BatchCaller pieces,
+            BatchCaller batches,
             Translation translation,
             PeerLink link,
             int linkPort,
             DomainId domain,
             Consumer<ServingEvent> events,
-            DecisionLines decisions,
+            AsyncDecisionLog decisions,
             RoutedMetrics metrics,
             Supplier<Instant> clock) {}
 
@@ -45,12 +45,12 @@
         this.parts = parts;
     }
 
-    /** Whether the balancer may send new connections. */
+    /** Whether the load balancer may open new connections to this node. */
     boolean ready() {
         return ready;
     }
 
-    /** Reached when everything that was begun is finished. */
+    /** Reaches zero when all accepted work is finished. */
     CountDownLatch drained() {
         return drained;
     }
@@ -59,17 +59,17 @@
     public void accept(ServingEffect effect) {
         switch (effect) {
             case ServingEffect.Send send -> parts.upstreams().send(send.order());
-            case ServingEffect.CancelSend giveUp -> parts.upstreams().giveUp(giveUp.request(), giveUp.attempt());
+            case ServingEffect.CancelSend cancel -> parts.upstreams().cancel(cancel.request(), cancel.attempt());
             case ServingEffect.Refuse refuse ->
                 parts.exchanges().find(refuse.request()).ifPresent(exchange -> exchange.refuse(refuse.refusal()));
-            case ServingEffect.ForwardFailure pass ->
-                parts.exchanges().find(pass.request()).ifPresent(RoutedExchange::passFailure);
+            case ServingEffect.ForwardFailure forward ->
+                parts.exchanges().find(forward.request()).ifPresent(RoutedExchange::forwardFailure);
             case ServingEffect.Cut cut -> parts.exchanges().find(cut.request()).ifPresent(RoutedExchange::cut);
             case ServingEffect.Finished finished -> finish(finished);
-            case ServingEffect.CallBatch call -> parts.pieces().call(call.call());
-            case ServingEffect.ReleaseResults release -> parts.pieces().release(release);
+            case ServingEffect.CallBatch call -> parts.batches().call(call.call());
+            case ServingEffect.ReleaseResults release -> parts.batches().release(release);
             case ServingEffect.SendToPeer send -> parts.link().send(send.receiver(), send.message());
-            case ServingEffect.PeersChanged changed -> connect(changed);
+            case ServingEffect.PeersChanged changed -> connectPeers(changed);
             case ServingEffect.ReadFeed read ->
                 parts.translation().feeds().read(read.feed(), read.read(), parts.events());
             case ServingEffect.WriteRecord write ->
@@ -77,9 +77,9 @@
                         .feeds()
                         .write(write.feed(), write.key(), write.value(), write.expectedEnd(), parts.events());
             case ServingEffect.LimitsChanged changed -> parts.handler().limits(changed.limits());
-            case ServingEffect.ReadinessChanged changed -> readiness(changed);
+            case ServingEffect.ReadinessChanged changed -> updateReadiness(changed);
             case ServingEffect.LogDecision log -> {
-                parts.metrics().decided(log.decision().kind());
+                parts.metrics().recordDecision(log.decision().kind());
                 parts.decisions().add(log.decision(), parts.clock().get());
             }
             case ServingEffect.CloseIdleConnections ignored ->
@@ -93,11 +93,11 @@
         if (finished.outcome() == ServingEffect.Outcome.LEFT) {
             exchange.ifPresent(RoutedExchange::abandon);
         }
-        parts.metrics().finished(finished.route(), finished.outcome(), finished.took());
+        parts.metrics().recordRequest(finished.route(), finished.outcome(), finished.took());
     }
 
-    /** A node is named by its address, and all nodes listen for one another on the same port. */
-    private void connect(ServingEffect.PeersChanged changed) {
+    /** The id of a node is its address, and all nodes use the same link port. */
+    private void connectPeers(ServingEffect.PeersChanged changed) {
         Map<VmId, NodeAddress> addresses = new HashMap<>();
         for (VmId peer : changed.peers()) {
             addresses.put(peer, new NodeAddress(peer.value(), parts.linkPort(), parts.domain()));
@@ -105,7 +105,7 @@
         parts.link().seeds(addresses);
     }
 
-    private void readiness(ServingEffect.ReadinessChanged changed) {
+    private void updateReadiness(ServingEffect.ReadinessChanged changed) {
         ready = changed.ready();
         if (!ready) {
             LOGGER.log(Level.INFO, "not ready: {0}", changed.reason());
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/RoutedExchange.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/RoutedExchange.java
@@ -24,8 +24,8 @@
 import org.wagtaillug.serving.RoutedRequest;
 
 /**
- * One caller's open exchange: its request as it came, and its one answer. Safe for use by several threads; writes one
- * buffer at a time, what comes meanwhile goes out together with the next.
+ * An open exchange with a caller: its request and its single answer. Thread-safe. Writes one buffer at a time; data
+ * that arrives in the meantime is written together with the next buffer.
  */
 final class RoutedExchange {
     /** The content type of {@link #text}. */
@@ -33,8 +33,8 @@
 
     private static final Logger LOGGER = System.getLogger(RoutedExchange.class.getName());
 
-    private static final Refusal BROKE_OFF =
-            Refusal.unknown(ResultCode.OUTCOME_UNKNOWN, Duration.ZERO, "the answer broke off before its first event");
+    private static final Refusal INCOMPLETE =
+            Refusal.unknown(ResultCode.OUTCOME_UNKNOWN, Duration.ZERO, "the answer ended before its first event");
 
     private final RoutedRequest routed;
     private final Request request;
@@ -45,22 +45,22 @@
     private final Function<Refusal, HttpFields> refusalHead;
     private final ByteArrayOutputStream pending = new ByteArrayOutputStream();
     private Optional<CallerWatch> watch = Optional.empty();
-    private Optional<KeptAnswer> failure = Optional.empty();
-    private boolean begun;
-    private boolean framed = true;
+    private Optional<CompleteAnswer> failure = Optional.empty();
+    private boolean started;
+    private boolean delimited = true;
     private boolean writing;
-    private boolean wrote;
-    private boolean ending;
+    private boolean bodyStarted;
+    private boolean complete;
     private boolean closed;
 
     /**
-     * An answer that is here whole.
+     * A complete answer in memory.
      *
      * @param status its status
-     * @param head its head
+     * @param head its headers
      * @param body its body
      */
-    record KeptAnswer(int status, HttpFields head, byte[] body) {}
+    record CompleteAnswer(int status, HttpFields head, byte[] body) {}
 
     RoutedExchange(
             RoutedRequest routed,
@@ -99,124 +99,131 @@
         return body;
     }
 
-    /** Runs {@code gone} when the caller closes its connection before its answer is whole. */
-    synchronized void watch(Runnable gone) {
-        if (!closed && !ending) {
-            watch = Optional.of(CallerWatch.begin(request, gone));
+    /** Runs {@code onDisconnect} when the caller closes its connection before its answer is complete. */
+    synchronized void watch(Runnable onDisconnect) {
+        if (!closed && !complete) {
+            watch = Optional.of(CallerWatch.start(request, onDisconnect));
         }
     }
 
-    /** Keeps an upstream's failure, which may be passed on. */
-    synchronized void keep(KeptAnswer answer) {
+    /** Keeps an upstream's failure response, which may be forwarded later. */
+    synchronized void keepFailure(CompleteAnswer answer) {
         failure = Optional.of(answer);
     }
 
-    /** Passes on the failure that was kept; false if none was. */
-    boolean passFailure() {
-        Optional<KeptAnswer> kept;
+    /** Forwards the failure response that was kept; returns false if there is none. */
+    boolean forwardFailure() {
+        Optional<CompleteAnswer> kept;
         synchronized (this) {
             kept = failure;
         }
-        kept.ifPresent(this::pass);
+        kept.ifPresent(this::forward);
         return kept.isPresent();
     }
 
-    /** Passes on a whole answer. */
-    synchronized void pass(KeptAnswer answer) {
-        begin(answer.status(), answer.head(), answer.body().length);
+    /** Forwards a complete answer. */
+    synchronized void forward(CompleteAnswer answer) {
+        startAnswer(answer.status(), answer.head(), answer.body().length);
         write(answer.body());
         end();
     }
 
-    /** Whether the head of an answer has gone out. */
-    synchronized boolean begun() {
-        return begun;
+    /** Whether the header of an answer was sent. */
+    synchronized boolean started() {
+        return started;
     }
 
-    /** Sends the head of an answer whose body comes in parts; does nothing once a head was sent. */
-    synchronized void begin(int status, HttpFields head) {
-        begin(status, head, -1);
+    /** Sends the header of an answer whose body follows in parts; does nothing if a header was sent already. */
+    synchronized void startAnswer(int status, HttpFields head) {
+        startAnswer(status, head, -1);
     }
 
-    private void begin(int status, HttpFields head, long length) {
-        if (begun || closed) {
+    private void startAnswer(int status, HttpFields head, long length) {
+        if (started || closed) {
             return;
         }
-        begun = true;
+        started = true;
         response.setStatus(status);
-        response.getHeaders().add(ConnectionHeaders.without(head));
-        connections.onAnswer(response);
+        response.getHeaders().add(ConnectionHeaders.forwardable(head));
+        connections.addCloseHeader(response);
         if (length >= 0) {
             response.getHeaders().put(HttpHeader.CONTENT_LENGTH, length);
             return;
         }
         if (request.getConnectionMetaData().getHttpVersion() == HttpVersion.HTTP_1_1) {
-            // Before a connection that closes the server would leave the length open, and an answer that
-            // breaks off would look whole to its caller.
+            // On a connection that is about to close, the server would otherwise send no length, and a truncated answer
+            // would look complete to the caller.
             response.getHeaders().put(HttpHeader.TRANSFER_ENCODING, HttpHeaderValue.CHUNKED);
             return;
         }
-        framed = false;
+        delimited = false;
     }
 
-    /** Sends part of the body. */
+    /** Sends a part of the body. */
     synchronized void write(byte[] bytes) {
-        if (ending || closed) {
+        if (complete || closed) {
             return;
         }
         pending.writeBytes(bytes);
         writeNext();
     }
 
-    /** Ends the answer: it is whole. */
+    /** Completes the answer. */
     synchronized void end() {
-        if (ending || closed) {
+        if (complete || closed) {
             return;
         }
-        ending = true;
+        complete = true;
         writeNext();
     }
 
     /**
-     * Closes the connection: the answer has begun and must not look whole. An answer that is here whole goes on: its
-     * attempt has ended in the same moment in which the decision to cut it was made. A caller that has no byte of it yet is
-     * told that its request may have run.
+     * Closes the connection, as the answer has started and must not look complete. An answer that is complete in memory
+     * is still written: its attempt ended at the moment when the decision to cut it was made. A caller that has not
+     * received a byte of it yet is refused with the information that its request may have been executed.
      */
     void cut() {
         synchronized (this) {
-            if (closed || ending) {
+            if (closed || complete) {
                 return;
             }
-            if (begun && !wrote) {
+            if (started && !bodyStarted) {
                 response.reset();
-                begun = false;
-                write(BROKE_OFF);
+                started = false;
+                writeRefusal(INCOMPLETE);
                 return;
             }
             closed = true;
-            endWatch();
-            if (begun && !framed) {
+            stopWatch();
+            if (started && !delimited) {
                 resetAtClose();
             }
         }
-        callback.failed(new IOException("the answer broke off at the upstream"));
+        callback.failed(new IOException("the upstream did not complete its answer"));
     }
 
-    /** The body ends with its connection; closed in order, half of it would look whole. */
+    /**
+     * The end of the body is marked by the end of the connection; after an orderly close a truncated body would look
+     * complete, so the connection is reset.
+     */
     private void resetAtClose() {
         EndPoint endPoint = request.getConnectionMetaData().getConnection().getEndPoint();
         if (endPoint.getTransport() instanceof SocketChannel channel) {
             try {
                 channel.setOption(StandardSocketOptions.SO_LINGER, 0);
-            } catch (IOException gone) {
-                LOGGER.log(Level.DEBUG, "the caller of {0} has gone before its answer was cut: {1}", routed.id(), gone);
+            } catch (IOException disconnected) {
+                LOGGER.log(
+                        Level.DEBUG,
+                        "the caller of {0} disconnected before its answer was cut: {1}",
+                        routed.id(),
+                        disconnected);
             }
         }
     }
 
     /**
-     * Closes the connection of a caller that has left. No answer will ever end its exchange, and the server would keep the
-     * socket for as long as it runs.
+     * Closes the connection of a caller that has disconnected. No answer will ever complete its exchange, and the
+     * server would keep the socket until the process ends.
      */
     void abandon() {
         synchronized (this) {
@@ -224,58 +231,58 @@
                 return;
             }
             closed = true;
-            endWatch();
+            stopWatch();
         }
         request.getConnectionMetaData().getConnection().getEndPoint().close();
-        callback.failed(new IOException("the caller left"));
+        callback.failed(new IOException("the caller disconnected"));
     }
 
-    /** Gives a final answer of this node. */
+    /** Sends a refusal as the final answer. */
     void refuse(Refusal refusal) {
-        if (!write(refusal)) {
-            // Anything that is added now would end the answer as if it were whole.
+        if (!writeRefusal(refusal)) {
+            // Adding the refusal to the body would end the answer as if it were complete.
             cut();
         }
     }
 
-    /** Writes a refusal unless an answer has begun, which another thread may do at any moment. */
-    private synchronized boolean write(Refusal refusal) {
-        if (begun) {
+    /** Writes a refusal unless an answer has started, which another thread may do at any moment. */
+    private synchronized boolean writeRefusal(Refusal refusal) {
+        if (started) {
             return false;
         }
         byte[] text = text(refusal);
         HttpFields.Mutable fields =
                 HttpFields.build(refusalHead.apply(refusal)).put(HttpHeader.CONTENT_TYPE, REFUSAL_TYPE);
-        begin(refusal.code().status(), fields, text.length);
+        startAnswer(refusal.code().status(), fields, text.length);
         write(text);
         end();
         return true;
     }
 
-    /** The body of a refusal: the numbered code and a sentence. */
+    /** The body of a refusal: the numeric code and a message. */
     static byte[] text(Refusal refusal) {
         return (refusal.code().number() + " " + refusal.message() + "\n").getBytes(StandardCharsets.UTF_8);
     }
 
-    private void endWatch() {
-        watch.ifPresent(CallerWatch::end);
+    private void stopWatch() {
+        watch.ifPresent(CallerWatch::stop);
         watch = Optional.empty();
     }
 
     private void writeNext() {
-        boolean nothing = pending.size() == 0 && !ending;
-        if (writing || closed || nothing) {
+        boolean nothingToWrite = pending.size() == 0 && !complete;
+        if (writing || closed || nothingToWrite) {
             return;
         }
         ByteBuffer bytes = ByteBuffer.wrap(pending.toByteArray());
         pending.reset();
         writing = true;
-        wrote = true;
-        boolean last = ending;
+        bodyStarted = true;
+        boolean last = complete;
         if (last) {
-            // The server reads the next request once the last byte is out; the watch must not read it first.
+            // The server reads the next request once the last byte is written; the watch must not read it first.
             closed = true;
-            endWatch();
+            stopWatch();
         }
         response.write(last, bytes, Callback.from(() -> written(last), this::failed));
     }
@@ -294,7 +301,7 @@
     private void failed(Throwable cause) {
         synchronized (this) {
             closed = true;
-            endWatch();
+            stopWatch();
         }
         callback.failed(cause);
     }
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/RoutedExchanges.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/RoutedExchanges.java
@@ -5,11 +5,11 @@
 import java.util.concurrent.ConcurrentHashMap;
 import org.wagtaillug.id.RequestId;
 
-/** The open exchanges by request. */
+/** The open exchanges by request id. */
 final class RoutedExchanges {
     private final Map<RequestId, RoutedExchange> open = new ConcurrentHashMap<>();
 
-    /** Adds an exchange; false if one with its id is open. */
+    /** Adds an exchange; returns false if one with the same id is open. */
     boolean add(RoutedExchange exchange) {
         return open.putIfAbsent(exchange.routed().id(), exchange) == null;
     }
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/RoutedMetrics.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/RoutedMetrics.java
@@ -11,14 +11,14 @@
 /** Counts requests and decisions. Names and labels are listed in docs/OPERATIONS.md. */
 final class RoutedMetrics {
     private static final double NANOS_PER_SECOND = 1e9;
-    private static final double[] SECONDS = {0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10};
+    private static final double[] BUCKETS_SECONDS = {0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10};
 
     private final PrometheusRegistry registry = new PrometheusRegistry();
-    private final Histogram requests = Histogram.builder()
+    private final Histogram requestSeconds = Histogram.builder()
             .name("wagtaillug_routed_request_seconds")
             .help("Time from the whole request to the end of its answer, by route and outcome")
             .labelNames("route", "outcome")
-            .classicUpperBounds(SECONDS)
+            .classicUpperBounds(BUCKETS_SECONDS)
             .classicOnly()
             .register(registry);
     private final Counter decisions = Counter.builder()
@@ -27,17 +27,19 @@
             .labelNames("kind")
             .register(registry);
 
-    /** Notes the end of a request. */
-    void finished(String route, ServingEffect.Outcome outcome, Duration took) {
-        requests.labelValues(route, outcome.name().toLowerCase(Locale.ROOT)).observe(took.toNanos() / NANOS_PER_SECOND);
+    /** Records the end of a request. */
+    void recordRequest(String route, ServingEffect.Outcome outcome, Duration took) {
+        requestSeconds
+                .labelValues(route, outcome.name().toLowerCase(Locale.ROOT))
+                .observe(took.toNanos() / NANOS_PER_SECOND);
     }
 
-    /** Notes a decision. */
-    void decided(String kind) {
+    /** Records a decision. */
+    void recordDecision(String kind) {
         decisions.labelValues(kind).inc();
     }
 
-    /** All figures in Prometheus's text format. */
+    /** All metrics in Prometheus's text format. */
     String text() {
         return MetricsText.of(registry);
     }
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/UpstreamAnswer.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/UpstreamAnswer.java
@@ -15,12 +15,15 @@
 import org.wagtaillug.serving.SendOrder;
 
 /**
- * Reads the answer to one attempt. A stream is passed on event by event; any other answer when it is here whole, so that
- * one that breaks off can still be replaced by another upstream's.
+ * Reads the answer to one attempt. A stream is forwarded event by event. Any other answer is forwarded only when it is
+ * complete, so that an interrupted one can still be replaced by the answer of another upstream.
  */
 final class UpstreamAnswer {
-    /** An answer that is not a stream is kept in memory; no service answers with more. */
-    private static final int LONGEST_KEPT = 4 * 1024 * 1024;
+    /**
+     * Limit of an answer that is buffered in memory, as every answer is that is not a stream; no service sends a longer
+     * one.
+     */
+    private static final int MAX_BUFFERED_BYTES = 4 * 1024 * 1024;
 
     private static final int FIRST_FAILURE = 300;
     private static final int FIRST_SUCCESS = 200;
@@ -28,13 +31,13 @@
     private final SendOrder order;
     private final RoutedExchange exchange;
     private final UpstreamTranslation translation;
-    private final Runnable began;
-    private final Consumer<SendEnd> ended;
-    private final ByteArrayOutputStream kept = new ByteArrayOutputStream();
+    private final Runnable onStarted;
+    private final Consumer<SendEnd> onEnd;
+    private final ByteArrayOutputStream buffered = new ByteArrayOutputStream();
     private final EventSplitter events = new EventSplitter();
     private volatile boolean sent;
     private Meaning meaning = Meaning.NOTHING;
-    private Optional<String> fault = Optional.empty();
+    private Optional<String> abortReason = Optional.empty();
 
     private enum Meaning {
         NOTHING,
@@ -48,20 +51,20 @@
             SendOrder order,
             RoutedExchange exchange,
             UpstreamTranslation translation,
-            Runnable began,
-            Consumer<SendEnd> ended) {
+            Runnable onStarted,
+            Consumer<SendEnd> onEnd) {
         this.order = order;
         this.exchange = exchange;
         this.translation = translation;
-        this.began = began;
-        this.ended = ended;
+        this.onStarted = onStarted;
+        this.onEnd = onEnd;
     }
 
     void onSent() {
         sent = true;
     }
 
-    void onHead(Response response) {
+    void onHeaders(Response response) {
         HttpFields head = response.getHeaders();
         int status = response.getStatus();
         if (translation.notRun(status, head)) {
@@ -70,16 +73,16 @@
         }
         Optional<String> answered = translation.answeredRequest(head);
         if (answered.isEmpty() || !answered.get().equals(order.request().value())) {
-            abort(response, "the answer is to request " + answered.orElse("(not named)"));
+            abort(response, "the answer belongs to request " + answered.orElse("(not specified)"));
             return;
         }
-        boolean good = status >= FIRST_SUCCESS && status < FIRST_FAILURE;
-        if (!good) {
+        boolean successful = status >= FIRST_SUCCESS && status < FIRST_FAILURE;
+        if (!successful) {
             meaning = Meaning.FAILURE;
             return;
         }
         if (!translation.authentic(head) || head.contains(HttpHeader.CONTENT_ENCODING)) {
-            abort(response, "the answer is not the upstream's own");
+            abort(response, "the answer does not come from the upstream itself");
             return;
         }
         if (!order.stream()) {
@@ -87,29 +90,29 @@
             return;
         }
         meaning = Meaning.STREAM;
-        exchange.begin(status, head);
-        began.run();
+        exchange.startAnswer(status, head);
+        onStarted.run();
     }
 
     private void abort(Response response, String reason) {
-        fault = Optional.of(reason);
+        abortReason = Optional.of(reason);
         response.abort(new IOException(reason));
     }
 
     void onContent(Response response, ByteBuffer content) {
         switch (meaning) {
             case STREAM -> {
-                byte[] whole = events.take(content);
-                if (whole.length > 0) {
-                    exchange.write(whole);
+                byte[] completeEvents = events.append(content);
+                if (completeEvents.length > 0) {
+                    exchange.write(completeEvents);
                 }
             }
             case WHOLE, FAILURE -> {
                 byte[] bytes = new byte[content.remaining()];
                 content.get(bytes);
-                kept.writeBytes(bytes);
-                if (kept.size() > LONGEST_KEPT) {
-                    abort(response, "the answer is longer than " + LONGEST_KEPT + " bytes");
+                buffered.writeBytes(bytes);
+                if (buffered.size() > MAX_BUFFERED_BYTES) {
+                    abort(response, "the answer exceeds " + MAX_BUFFERED_BYTES + " bytes");
                 }
             }
             case NOT_RUN, NOTHING -> content.position(content.limit());
@@ -117,48 +120,48 @@
     }
 
     void onComplete(Result result) {
-        ended.accept(end(result));
+        onEnd.accept(end(result));
     }
 
     private SendEnd end(Result result) {
         if (meaning == Meaning.NOT_RUN) {
             return new SendEnd.NotRun(result.getResponse().getStatus());
         }
-        if (fault.isPresent()) {
-            return new SendEnd.Broken(fault.get(), events.lastId());
+        if (abortReason.isPresent()) {
+            return new SendEnd.Broken(abortReason.get(), events.lastEventId());
         }
         if (result.getResponseFailure() != null || result.getResponse().getStatus() == 0) {
-            return failed(result.getFailure());
+            return failureEnd(result.getFailure());
         }
         HttpFields head = result.getResponse().getHeaders();
         int status = result.getResponse().getStatus();
         return switch (meaning) {
             case FAILURE -> {
-                exchange.keep(new RoutedExchange.KeptAnswer(status, head, kept.toByteArray()));
+                exchange.keepFailure(new RoutedExchange.CompleteAnswer(status, head, buffered.toByteArray()));
                 yield new SendEnd.Failed(status);
             }
             case WHOLE -> {
-                exchange.pass(new RoutedExchange.KeptAnswer(status, head, kept.toByteArray()));
+                exchange.forward(new RoutedExchange.CompleteAnswer(status, head, buffered.toByteArray()));
                 yield new SendEnd.Passed();
             }
             case STREAM -> endOfStream();
-            case NOT_RUN, NOTHING -> new SendEnd.Broken("no answer", events.lastId());
+            case NOT_RUN, NOTHING -> new SendEnd.Broken("no answer", events.lastEventId());
         };
     }
 
     private SendEnd endOfStream() {
         if (!events.atBoundary()) {
-            return new SendEnd.Broken("the stream ended in the middle of an event", events.lastId());
+            return new SendEnd.Broken("the stream ended in the middle of an event", events.lastEventId());
         }
         exchange.end();
         return new SendEnd.Passed();
     }
 
-    private SendEnd failed(Throwable cause) {
+    private SendEnd failureEnd(Throwable cause) {
         if (cause instanceof CancellationException) {
             return new SendEnd.GivenUp();
         }
-        String reason = FaultText.of(cause);
-        return sent ? new SendEnd.Broken(reason, events.lastId()) : new SendEnd.Unsent(reason);
+        String reason = FailureText.of(cause);
+        return sent ? new SendEnd.Broken(reason, events.lastEventId()) : new SendEnd.Unsent(reason);
     }
 }
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/UpstreamCaller.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/UpstreamCaller.java
@@ -20,82 +20,84 @@
 import org.wagtaillug.serving.ServingEvent;
 
 /**
- * Sends requests to upstreams, passes good answers on to callers and reports how each attempt ended, once.
+ * Sends requests to upstreams, forwards successful answers to callers and reports the end of each attempt once.
  *
- * <p>What must run at most once goes over a connection that is used for it alone: on a kept connection that the upstream
- * closes at the same moment nobody could tell whether the request had begun, and bytes of an earlier answer that come late
- * could be taken for its answer.
+ * <p>A request that must be executed at most once is sent on a connection of its own. On a reused connection that the
+ * upstream closes at the same moment, it would be unknown whether execution has started, and late bytes of an earlier
+ * answer could be taken for its answer.
  */
 final class UpstreamCaller {
-    /** At its deadline a request is given up by decision; the silence of its connection must not come first. */
-    private static final Duration AFTER_DEADLINE = Duration.ofSeconds(1);
+    /**
+     * The control thread cancels a request at its deadline; the idle timeout of its connection must not expire earlier.
+     */
+    private static final Duration IDLE_MARGIN = Duration.ofSeconds(1);
 
-    private final HttpClient kept;
-    private final HttpClient fresh;
+    private final HttpClient pooledClient;
+    private final HttpClient singleUseClient;
     private final UpstreamTranslation translation;
     private final RoutedExchanges exchanges;
     private final Consumer<ServingEvent> events;
     private final Supplier<Instant> clock;
-    private final Map<RequestId, Sending> live = new ConcurrentHashMap<>();
+    private final Map<RequestId, ActiveSend> activeSends = new ConcurrentHashMap<>();
 
-    /** An attempt on its way, which may be given up before its request exists. */
-    private static final class Sending {
+    /** An attempt that may be cancelled before its request is created. */
+    private static final class ActiveSend {
         private final int attempt;
         private Optional<Request> request = Optional.empty();
-        private boolean givenUp;
+        private boolean cancelled;
 
-        private Sending(int attempt) {
+        private ActiveSend(int attempt) {
             this.attempt = attempt;
         }
 
-        private synchronized boolean begin(Request made) {
-            request = Optional.of(made);
-            return !givenUp;
+        private synchronized boolean attach(Request created) {
+            request = Optional.of(created);
+            return !cancelled;
         }
 
-        private synchronized Optional<Request> giveUp() {
-            givenUp = true;
+        private synchronized Optional<Request> cancel() {
+            cancelled = true;
             return request;
         }
     }
 
     /**
-     * Sends over the given clients.
+     * Creates a sender with the given clients.
      *
-     * @param kept keeps connections
-     * @param fresh closes each connection after its one request
+     * @param pooledClient reuses connections
+     * @param singleUseClient closes each connection after its only request
      */
     UpstreamCaller(
-            HttpClient kept,
-            HttpClient fresh,
+            HttpClient pooledClient,
+            HttpClient singleUseClient,
             UpstreamTranslation translation,
             RoutedExchanges exchanges,
             Consumer<ServingEvent> events,
             Supplier<Instant> clock) {
-        this.kept = kept;
-        this.fresh = fresh;
+        this.pooledClient = pooledClient;
+        this.singleUseClient = singleUseClient;
         this.translation = translation;
         this.exchanges = exchanges;
         this.events = events;
         this.clock = clock;
     }
 
-    /** Sends without waiting for anything. */
+    /** Sends a request without blocking. */
     void send(SendOrder order) {
-        Sending sending = new Sending(order.attempt());
-        live.put(order.request(), sending);
-        send(order, sending);
+        ActiveSend active = new ActiveSend(order.attempt());
+        activeSends.put(order.request(), active);
+        send(order, active);
     }
 
-    private void send(SendOrder order, Sending sending) {
+    private void send(SendOrder order, ActiveSend active) {
         Optional<RoutedExchange> exchange = exchanges.find(order.request());
         if (exchange.isEmpty()) {
-            ended(order, sending, new SendEnd.GivenUp());
+            onEnded(order, active, new SendEnd.GivenUp());
             return;
         }
         Request request = request(order, exchange.get());
-        if (!sending.begin(request)) {
-            ended(order, sending, new SendEnd.GivenUp());
+        if (!active.attach(request)) {
+            onEnded(order, active, new SendEnd.GivenUp());
             return;
         }
         UpstreamAnswer answer = new UpstreamAnswer(
@@ -103,29 +105,30 @@
                 exchange.get(),
                 translation,
                 () -> events.accept(new ServingEvent.AnswerStarted(order.request(), order.attempt())),
-                end -> ended(order, sending, end));
+                end -> onEnded(order, active, end));
         request.onRequestBegin(ignored -> answer.onSent())
-                .onResponseHeaders(answer::onHead)
+                .onResponseHeaders(answer::onHeaders)
                 .onResponseContent(answer::onContent)
                 .send(answer::onComplete);
     }
 
     private Request request(SendOrder order, RoutedExchange exchange) {
-        HttpClient client = order.freshConnection() ? fresh : kept;
-        Duration left = Duration.between(clock.get(), order.deadline());
+        HttpClient client = order.freshConnection() ? singleUseClient : pooledClient;
+        Duration remaining = Duration.between(clock.get(), order.deadline());
         Request request = client.newRequest(
                         order.upstream().host(), order.upstream().port())
                 .method(exchange.method())
                 .path(exchange.path())
-                .headers(head -> {
-                    translation.write(ConnectionHeaders.without(exchange.head()), order, left, head);
+                .headers(headers -> {
+                    translation.write(ConnectionHeaders.forwardable(exchange.head()), order, remaining, headers);
                     if (order.freshConnection()) {
-                        head.put(HttpHeader.CONNECTION, "close");
+                        headers.put(HttpHeader.CONNECTION, "close");
                     }
                 });
         if (!order.retryableElsewhere()) {
-            // Silence is no reason to end what cannot go on elsewhere: its caller waits until the deadline.
-            request.idleTimeout(Math.max(1, left.plus(AFTER_DEADLINE).toMillis()), TimeUnit.MILLISECONDS);
+            // An idle connection is no reason to cancel a request that cannot be retried elsewhere: its caller waits
+            // until the deadline.
+            request.idleTimeout(Math.max(1, remaining.plus(IDLE_MARGIN).toMillis()), TimeUnit.MILLISECONDS);
         }
         if (exchange.body().length > 0) {
             request.body(new BytesRequestContent((String) null, exchange.body()));
@@ -133,18 +136,18 @@
         return request;
     }
 
-    private void ended(SendOrder order, Sending sending, SendEnd end) {
-        live.remove(order.request(), sending);
+    private void onEnded(SendOrder order, ActiveSend active, SendEnd end) {
+        activeSends.remove(order.request(), active);
         events.accept(new ServingEvent.SendEnded(order.request(), order.attempt(), end));
     }
 
-    /** Gives up an attempt: its connection is closed. */
-    void giveUp(RequestId id, int attempt) {
-        Sending sending = live.get(id);
-        if (sending == null || sending.attempt != attempt) {
+    /** Cancels an attempt and closes its connection. */
+    void cancel(RequestId id, int attempt) {
+        ActiveSend active = activeSends.get(id);
+        if (active == null || active.attempt != attempt) {
             return;
         }
-        Optional<Request> begun = sending.giveUp();
-        begun.ifPresent(request -> request.abort(new CancellationException("given up")));
+        Optional<Request> toAbort = active.cancel();
+        toAbort.ifPresent(request -> request.abort(new CancellationException("attempt cancelled")));
     }
 }
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/UpstreamConnector.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/UpstreamConnector.java
@@ -14,15 +14,15 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * Connects to upstreams so that a reset is told from an end.
+ * Connects to upstreams and distinguishes a connection reset from an orderly end.
  *
- * <p>The library's own connections read a reset as the end of the input. An answer without a length ends with its
- * connection, so half an answer of an upstream that crashed would pass for a whole one. Here a reset fails the answer.
+ * <p>The default end points of the library report a reset as the end of the input. An answer without a length ends with
+ * its connection, so a truncated answer of a crashed upstream would look complete. Here a reset fails the answer.
  */
 final class UpstreamConnector extends ClientConnector {
     /**
-     * Upstreams speak plain HTTP. A TLS context that nothing uses took a fifth of the processor time of a node's start, and a
-     * node that was killed is away for as long as it starts.
+     * Upstreams use plain HTTP. Creating an unused TLS context takes a fifth of the processor time of a node's start,
+     * and a node that was killed is unavailable until its restart is finished.
      */
     @Override
     protected SslContextFactory.Client newSslContextFactory() {
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/package-info.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/package-info.java
@@ -1,2 +1,2 @@
-/** The frame around a node that routes by host and path: listeners, callers' exchanges, calls to upstreams. */
+/** The process of a node that routes by host and path: listeners, caller exchanges and calls to upstreams. */
 package org.wagtaillug.daemon.routed;
--- a/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/routed/EventSplitterTest.java
+++ b/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/routed/EventSplitterTest.java
@@ -9,29 +9,29 @@
 class EventSplitterTest {
     private final EventSplitter splitter = new EventSplitter();
 
-    private String take(String text) {
-        byte[] whole = splitter.take(ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
-        return new String(whole, StandardCharsets.UTF_8);
+    private String append(String text) {
+        byte[] complete = splitter.append(ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
+        return new String(complete, StandardCharsets.UTF_8);
     }
 
     @Test
-    void onlyWholeEventsComeOut() {
-        assertThat(take("id: 1\ndata: a\n\nid: 2\nda")).isEqualTo("id: 1\ndata: a\n\n");
+    void returnsOnlyCompleteEvents() {
+        assertThat(append("id: 1\ndata: a\n\nid: 2\nda")).isEqualTo("id: 1\ndata: a\n\n");
         assertThat(splitter.atBoundary()).isFalse();
-        assertThat(splitter.lastId()).contains("1");
-        assertThat(take("ta: b\n\n")).isEqualTo("id: 2\ndata: b\n\n");
+        assertThat(splitter.lastEventId()).contains("1");
+        assertThat(append("ta: b\n\n")).isEqualTo("id: 2\ndata: b\n\n");
         assertThat(splitter.atBoundary()).isTrue();
-        assertThat(splitter.lastId()).contains("2");
+        assertThat(splitter.lastEventId()).contains("2");
     }
 
     @Test
-    void anEventMayBeCutAtAnyByte() {
+    void anEventMayBeSplitAtAnyByte() {
         String text = "id: 7\r\ndata: a\r\n\r\n";
-        StringBuilder out = new StringBuilder();
-        for (char each : text.toCharArray()) {
-            out.append(take(String.valueOf(each)));
+        StringBuilder events = new StringBuilder();
+        for (char next : text.toCharArray()) {
+            events.append(append(String.valueOf(next)));
         }
-        assertThat(out).hasToString(text);
-        assertThat(splitter.lastId()).contains("7");
+        assertThat(events).hasToString(text);
+        assertThat(splitter.lastEventId()).contains("7");
     }
 }
--- a/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/routed/RefusedBodyTest.java
+++ b/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/routed/RefusedBodyTest.java
@@ -11,20 +11,20 @@
 import org.junit.jupiter.api.Test;
 
 class RefusedBodyTest {
-    private static final long LONGEST_WAIT_MILLIS = 10_000;
+    private static final long MAX_WAIT_MILLIS = 10_000;
 
     private final ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler();
-    private final List<String> ends = new ArrayList<>();
-    private final Callback callback = Callback.from(() -> end("succeeded"), fault -> end("failed"));
+    private final List<String> outcomes = new ArrayList<>();
+    private final Callback callback = Callback.from(() -> record("succeeded"), fault -> record("failed"));
     private RefusedBody body;
 
-    private synchronized void end(String how) {
-        ends.add(how);
+    private synchronized void record(String outcome) {
+        outcomes.add(outcome);
         notifyAll();
     }
 
-    private synchronized List<String> ends() {
-        return List.copyOf(ends);
+    private synchronized List<String> outcomes() {
+        return List.copyOf(outcomes);
     }
 
     @BeforeEach
@@ -38,40 +38,40 @@
         scheduler.stop();
     }
 
-    /** Guards against a request that ends without an answer, which its caller reads as an empty success. */
+    /** Guards against completing a request without an answer, which its caller reads as an empty success. */
     @Test
-    void doesNotEndTheRequestBeforeItsRefusalIsWritten() {
-        body.onBodyOver();
-        assertThat(ends()).isEmpty();
+    void doesNotCompleteTheRequestBeforeItsRefusalIsWritten() {
+        body.onBodyEnded();
+        assertThat(outcomes()).isEmpty();
         body.onWritten();
-        assertThat(ends()).containsExactly("succeeded");
+        assertThat(outcomes()).containsExactly("succeeded");
     }
 
     @Test
-    void endsTheRequestWhenTheCallerHasStoppedSending() {
+    void completesTheRequestWhenTheCallerHasStoppedSending() {
         body.onWritten();
-        assertThat(ends()).isEmpty();
-        body.onBodyOver();
-        assertThat(ends()).containsExactly("succeeded");
+        assertThat(outcomes()).isEmpty();
+        body.onBodyEnded();
+        assertThat(outcomes()).containsExactly("succeeded");
     }
 
-    /** Guards against a connection that a caller holds by sending for ever. */
+    /** Guards against a caller that holds a connection by never ceasing to send. */
     @Test
-    void endsTheRequestOfACallerThatGoesOnSending() throws Exception {
+    void completesTheRequestOfACallerThatKeepsSending() throws Exception {
         body.onWritten();
         synchronized (this) {
-            if (ends.isEmpty()) {
-                wait(LONGEST_WAIT_MILLIS);
+            if (outcomes.isEmpty()) {
+                wait(MAX_WAIT_MILLIS);
             }
         }
-        assertThat(ends()).containsExactly("succeeded");
+        assertThat(outcomes()).containsExactly("succeeded");
     }
 
     @Test
-    void endsTheRequestOnceWhateverHappens() {
-        body.onFailed(new IllegalStateException("closed"));
-        body.onBodyOver();
+    void completesTheRequestOnlyOnce() {
+        body.onWriteFailed(new IllegalStateException("closed"));
+        body.onBodyEnded();
         body.onWritten();
-        assertThat(ends()).containsExactly("failed");
+        assertThat(outcomes()).containsExactly("failed");
     }
 }
--- a/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/routed/RoutedExchangeTest.java
+++ b/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/routed/RoutedExchangeTest.java
@@ -22,7 +22,7 @@
 import org.wagtaillug.serving.RoutedRequest;
 
 class RoutedExchangeTest {
-    /** More than the buffers of a connection hold, so that it is still being written when the decision comes. */
+    /** Exceeds the buffers of a connection, so that the answer is still being written when it is cut. */
     private static final int LARGE_BYTES = 20_000_000;
 
     private static RoutedRequest request() {
@@ -40,11 +40,11 @@
     }
 
     /**
-     * An upstream's whole answer is being written to a slow caller when the decision comes to cut the request, made before
-     * the word of the answer's end had arrived. The caller has half an answer, and the request has run.
+     * A complete answer is being written to a slow caller when the request is cut, because the decision was made before
+     * the end of the answer was reported. Guards against truncating the answer although the request was executed.
      */
     @Test
-    void anAnswerThatIsHereWholeIsNotCut() throws Exception {
+    void aCompleteAnswerIsNotCut() throws Exception {
         CountDownLatch cut = new CountDownLatch(1);
         Server server = new Server();
         ServerConnector connector = new ServerConnector(server);
@@ -60,7 +60,7 @@
                         new byte[0],
                         new CallerConnections(),
                         refusal -> HttpFields.EMPTY);
-                exchange.pass(new RoutedExchange.KeptAnswer(200, HttpFields.EMPTY, new byte[LARGE_BYTES]));
+                exchange.forward(new RoutedExchange.CompleteAnswer(200, HttpFields.EMPTY, new byte[LARGE_BYTES]));
                 exchange.cut();
                 cut.countDown();
                 return true;
@@ -72,20 +72,20 @@
             caller.getOutputStream()
                     .write("GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n".getBytes(StandardCharsets.UTF_8));
             assertThat(cut.await(10, TimeUnit.SECONDS)).isTrue();
-            assertThat(length(caller.getInputStream())).isGreaterThanOrEqualTo(LARGE_BYTES);
+            assertThat(countBytes(caller.getInputStream())).isGreaterThanOrEqualTo(LARGE_BYTES);
         } finally {
             server.stop();
         }
     }
 
-    private static long length(InputStream answer) throws Exception {
+    private static long countBytes(InputStream answer) throws Exception {
         byte[] buffer = new byte[65_536];
-        long all = 0;
+        long total = 0;
         int read = answer.read(buffer);
         while (read >= 0) {
-            all += read;
+            total += read;
             read = answer.read(buffer);
         }
-        return all;
+        return total;
     }
 }
--- a/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/routed/RoutedExchangeThreadsTest.java
+++ b/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/routed/RoutedExchangeThreadsTest.java
@@ -26,15 +26,15 @@
 import org.wagtaillug.result.ResultCode;
 import org.wagtaillug.serving.RoutedRequest;
 
-/** One exchange between two threads: the one that reads the upstream's answer and the one that decides. */
+/** One exchange used by two threads: the one that reads the answer of the upstream and the one that makes decisions. */
 class RoutedExchangeThreadsTest {
     private static final int ROUNDS = 50_000;
-    private static final Refusal LAST = Refusal.unknown(ResultCode.OUTCOME_UNKNOWN, Duration.ZERO, "the node ends");
+    private static final Refusal REFUSAL = Refusal.unknown(ResultCode.OUTCOME_UNKNOWN, Duration.ZERO, "the node ends");
 
-    /** What the caller gets. */
+    /** Records what the caller receives. */
     private static final class Caller {
         private final StringBuilder body = new StringBuilder();
-        private final AtomicBoolean whole = new AtomicBoolean();
+        private final AtomicBoolean ended = new AtomicBoolean();
         private final HttpFields.Mutable head = HttpFields.build();
         private volatile int status;
 
@@ -47,7 +47,7 @@
                 }
                 case "write" -> {
                     body.append(StandardCharsets.UTF_8.decode((ByteBuffer) arguments[1]));
-                    whole.compareAndSet(false, (boolean) arguments[0]);
+                    ended.compareAndSet(false, (boolean) arguments[0]);
                     ((Callback) arguments[2]).succeeded();
                 }
                 default -> throw new UnsupportedOperationException(method);
@@ -88,28 +88,29 @@
     }
 
     /**
-     * A node runs out of time and gives an open stream its last answer, as nothing of it has begun. In the same moment the
-     * head and the first event come from the engine. The refusal is written into the body of the answer and ends it in
-     * order: the caller takes a status of 200 and a body of one event and a sentence of the node for a whole answer.
+     * A node reaches the end of its shutdown grace and refuses a stream that has not started, while the header and the
+     * first event arrive from the engine. Guards against writing the refusal into the body of the answer and ending it
+     * in order: the caller would take a status of 200 and a body of one event and the refusal text for a complete
+     * answer.
      */
     @Test
-    void aRefusalThatCrossesTheHeadOfAnAnswerDoesNotMakeItLookWhole() throws Exception {
+    void aRefusalDuringTheHeaderOfAnAnswerDoesNotMakeItLookComplete() throws Exception {
         try (ExecutorService upstream = Executors.newSingleThreadExecutor()) {
             for (int round = 0; round < ROUNDS; round++) {
                 Caller caller = new Caller();
                 RoutedExchange exchange = exchange(caller);
-                CyclicBarrier together = new CyclicBarrier(2);
+                CyclicBarrier barrier = new CyclicBarrier(2);
                 Future<?> answer = upstream.submit(() -> {
-                    together.await();
-                    exchange.begin(200, HttpFields.EMPTY);
+                    barrier.await();
+                    exchange.startAnswer(200, HttpFields.EMPTY);
                     exchange.write("data: first\n\n".getBytes(StandardCharsets.UTF_8));
                     return null;
                 });
-                together.await();
-                exchange.refuse(LAST);
+                barrier.await();
+                exchange.refuse(REFUSAL);
                 answer.get();
-                boolean looksWhole = caller.status == 200 && caller.whole.get();
-                assertThat(looksWhole)
+                boolean looksComplete = caller.status == 200 && caller.ended.get();
+                assertThat(looksComplete)
                         .as("round %d: an answer with status 200 that ended in order: %s", round, caller.body)
                         .isFalse();
             }
@@ -117,17 +118,18 @@
     }
 
     /**
-     * An upstream's answer is here whole and its caller reads it slowly, so that its last bytes wait. The node's last answers
-     * are given before it hears that the upstream is done. The connection is cut, though all of the answer is at hand.
+     * A complete answer is waiting to be written to a slow caller when the node refuses all open requests, before it
+     * has processed the end of the attempt. Guards against cutting the connection although the complete answer is
+     * available.
      */
     @Test
-    void aWholeAnswerThatIsBeingWrittenIsNotCutByALastAnswer() {
+    void aCompleteAnswerThatIsBeingWrittenIsNotCutByARefusal() {
         AtomicBoolean failed = new AtomicBoolean();
         ConnectionMetaData connection =
                 stub(ConnectionMetaData.class, (proxy, method, arguments) -> HttpVersion.HTTP_1_1);
         Request request = stub(Request.class, (proxy, method, arguments) -> connection);
         HttpFields.Mutable head = HttpFields.build();
-        // A caller that does not read: no write ends.
+        // The caller does not read: no write completes.
         Response response = stub(
                 Response.class, (proxy, method, arguments) -> method.getName().equals("getHeaders") ? head : null);
         Callback callback = Callback.from(() -> {}, failure -> failed.set(true));
@@ -139,8 +141,8 @@
                 new byte[0],
                 new CallerConnections(),
                 refusal -> HttpFields.EMPTY);
-        exchange.pass(new RoutedExchange.KeptAnswer(200, HttpFields.EMPTY, new byte[1000]));
-        exchange.refuse(LAST);
+        exchange.forward(new RoutedExchange.CompleteAnswer(200, HttpFields.EMPTY, new byte[1000]));
+        exchange.refuse(REFUSAL);
         assertThat(failed).as("the connection is cut").isFalse();
     }
 }
