--- a/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/routed/RefusedBodyTest.java
+++ b/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/routed/RefusedBodyTest.java
@@ -15,10 +15,10 @@
 
     private final ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler();
     private final List<String> outcomes = new ArrayList<>();
-    private final Callback callback = Callback.from(() -> record("succeeded"), fault -> record("failed"));
+    private final Callback callback = Callback.from(() -> recordOutcome("succeeded"), fault -> recordOutcome("failed"));
     private RefusedBody body;
 
-    private synchronized void record(String outcome) {
+    private synchronized void recordOutcome(String outcome) {
         outcomes.add(outcome);
         notifyAll();
     }
