--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/DecisionLog.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/DecisionLog.java
@@ -13,49 +13,49 @@
 import org.wagtaillug.node.Decision;
 
 /**
- * Writes each decision as one JSON line, and remembers the last ones, so that operators can ask why a request was routed
- * or refused as it was.
+ * Writes each decision as one JSON line and keeps the latest ones, so that operators can query why a request was routed
+ * or refused.
  */
 public final class DecisionLog {
     private static final Logger LOGGER = System.getLogger("wagtaillug.decision");
-    private static final int REMEMBERED = 20_000;
+    private static final int MAX_KEPT = 20_000;
 
-    private final Deque<Remembered> last = new ArrayDeque<>();
+    private final Deque<KeptDecision> kept = new ArrayDeque<>();
 
-    private record Remembered(Instant time, Decision decision) {}
+    private record KeptDecision(Instant time, Decision decision) {}
 
-    /** Writes a decision that was made at a time. */
+    /** Writes and keeps a decision. */
     public synchronized void write(Decision decision, Instant time) {
-        LOGGER.log(Level.INFO, "{0}", lineOf(decision));
-        last.addLast(new Remembered(time, decision));
-        if (last.size() > REMEMBERED) {
-            last.removeFirst();
+        LOGGER.log(Level.INFO, "{0}", toLine(decision));
+        kept.addLast(new KeptDecision(time, decision));
+        if (kept.size() > MAX_KEPT) {
+            kept.removeFirst();
         }
     }
 
-    /** The remembered decisions about a request, oldest first: objects with time, kind, fields and alternatives. */
+    /** The kept decisions about a request, oldest first: objects with time, kind, fields and alternatives. */
     public synchronized List<ObjectNode> about(String request) {
         List<ObjectNode> found = new ArrayList<>();
-        for (Remembered remembered : last) {
-            if (request.equals(remembered.decision().fields().get("request"))) {
-                found.add(view(remembered));
+        for (KeptDecision entry : kept) {
+            if (request.equals(entry.decision().fields().get("request"))) {
+                found.add(toJson(entry));
             }
         }
         return found;
     }
 
-    private static ObjectNode view(Remembered remembered) {
-        ObjectNode view = Json.object();
-        view.put("time", remembered.time().toString());
-        view.put("kind", remembered.decision().kind());
-        ObjectNode fields = view.putObject("fields");
-        remembered.decision().fields().forEach(fields::put);
-        ArrayNode alternatives = view.putArray("alternatives");
-        remembered.decision().alternatives().forEach(alternatives::add);
-        return view;
+    private static ObjectNode toJson(KeptDecision entry) {
+        ObjectNode json = Json.object();
+        json.put("time", entry.time().toString());
+        json.put("kind", entry.decision().kind());
+        ObjectNode fields = json.putObject("fields");
+        entry.decision().fields().forEach(fields::put);
+        ArrayNode alternatives = json.putArray("alternatives");
+        entry.decision().alternatives().forEach(alternatives::add);
+        return json;
     }
 
-    private static LogFields lineOf(Decision decision) {
+    private static LogFields toLine(Decision decision) {
         LogFields.Builder line = LogFields.builder().text("decision", decision.kind());
         decision.fields().forEach(line::text);
         if (!decision.alternatives().isEmpty()) {
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/EffectRunner.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/EffectRunner.java
@@ -27,17 +27,17 @@
 import org.wagtaillug.node.Node;
 import org.wagtaillug.result.ResultCode;
 
-/** Carries out the node's effects. Runs on the control thread and blocks on nothing. */
+/** Carries out the effects of the node. Runs on the control thread and never blocks. */
 final class EffectRunner implements Consumer<Effect> {
     private static final Logger LOGGER = System.getLogger(EffectRunner.class.getName());
 
     private final Parts parts;
     private final Node node;
-    private final Map<AttemptId, Started> attempts = new ConcurrentHashMap<>();
+    private final Map<AttemptId, StartedAttempt> attempts = new ConcurrentHashMap<>();
     private final CountDownLatch drained = new CountDownLatch(1);
     private volatile boolean ready;
 
-    /** What effects are carried out with. */
+    /** The components that carry out the effects. */
     record Parts(
             Exchanges exchanges,
             AttemptSender sender,
@@ -48,19 +48,19 @@
             NodeMetrics metrics,
             MonotonicClock clock) {}
 
-    private record Started(Attempt attempt, Instant at) {}
+    private record StartedAttempt(Attempt attempt, Instant startedAt) {}
 
     EffectRunner(Parts parts, Node node) {
         this.parts = parts;
         this.node = node;
     }
 
-    /** Whether the balancer may send requests here. */
+    /** Whether the load balancer may send requests to this node. */
     boolean ready() {
         return ready;
     }
 
-    /** Reached when the node has finished all that it had begun. */
+    /** Reaches zero when the node has finished all accepted work. */
     CountDownLatch drained() {
         return drained;
     }
@@ -78,76 +78,79 @@
             case Effect.AppendToLog append -> parts.platform().append(append);
             case Effect.ReadVmList ignored -> {
                 parts.platform().readVmList();
-                measureControl();
+                recordControlCost();
             }
-            case Effect.RequestLoad ask -> upstream(ask.upstream(), parts.platform()::askLoad);
+            case Effect.RequestLoad request -> withUpstream(request.upstream(), parts.platform()::requestLoad);
             case Effect.SendOrder order ->
-                upstream(order.upstream(), vm -> parts.platform().order(vm, order));
+                withUpstream(order.upstream(), vm -> parts.platform().sendOrder(vm, order));
             case Effect.ChangeAccepted accepted -> parts.pending().accepted(accepted.changeId(), accepted.offset());
             case Effect.ChangeRefused refused -> parts.pending().refused(refused.changeId(), refused.refusal());
-            case Effect.ReadinessChanged changed -> readiness(changed);
-            case Effect.LogDecision log -> decide(log);
+            case Effect.ReadinessChanged changed -> updateReadiness(changed);
+            case Effect.LogDecision log -> logDecision(log);
             case Effect.DrainFinished ignored -> drained.countDown();
         }
     }
 
-    /** Notes what control has cost; comes with the regular reading of the VM list, and so on the control thread. */
-    private void measureControl() {
+    /**
+     * Records the cost of control. Called with the periodic read of the VM list, and therefore on the control thread.
+     */
+    private void recordControlCost() {
         LinkCounters link = parts.link().counters();
         long cpuNanos = ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
-        parts.metrics().control(node.state().through(), cpuNanos, link.bytesIn() + link.bytesOut());
+        parts.metrics().recordControl(node.state().through(), cpuNanos, link.bytesIn() + link.bytesOut());
     }
 
     private void start(Attempt attempt) {
-        attempts.put(attempt.id(), new Started(attempt, parts.clock().now()));
+        attempts.put(attempt.id(), new StartedAttempt(attempt, parts.clock().now()));
         parts.sender().start(attempt);
     }
 
-    /** Notes what an attempt cost; called with each event on its way to the control thread. */
+    /** Records the duration of an attempt; called with each event before it is passed to the control thread. */
     void observe(Event event) {
         if (!(event instanceof Event.AttemptEnded ended)) {
             return;
         }
-        Started started = attempts.remove(ended.attempt());
+        StartedAttempt started = attempts.remove(ended.attempt());
         if (started != null) {
-            Duration took = Duration.between(started.at(), parts.clock().now());
-            parts.metrics().attempted(started.attempt(), ended.end(), took);
+            Duration took = Duration.between(started.startedAt(), parts.clock().now());
+            parts.metrics().recordAttempt(started.attempt(), ended.end(), took);
         }
     }
 
     private void serve(Effect.AnswerServed served) {
-        parts.exchanges().take(served.request()).ifPresent(exchange -> {
-            count(exchange, ResultCode.SERVED, "run");
+        parts.exchanges().remove(served.request()).ifPresent(exchange -> {
+            recordAnswer(exchange, ResultCode.SERVED, "run");
             exchange.served(served.templateVersion(), served.output());
         });
     }
 
     private void refuse(Effect.AnswerRefused refused) {
-        parts.exchanges().take(refused.request()).ifPresent(exchange -> {
-            count(exchange, refused.refusal().code(), refused.refusal().run().text());
+        parts.exchanges().remove(refused.request()).ifPresent(exchange -> {
+            recordAnswer(
+                    exchange, refused.refusal().code(), refused.refusal().run().text());
             exchange.refused(refused.templateVersion(), refused.refusal());
         });
     }
 
-    private void count(CallerExchange exchange, ResultCode code, String run) {
+    private void recordAnswer(CallerExchange exchange, ResultCode code, String run) {
         Duration took = Duration.between(exchange.arrivedAt(), parts.clock().now());
         String customer = exchange.request().customer().value();
         String template = exchange.request().template().value();
-        parts.metrics().answered(customer, template, code, run, took);
+        parts.metrics().recordAnswer(customer, template, code, run, took);
     }
 
-    private void upstream(VmId id, Consumer<Vm> action) {
+    private void withUpstream(VmId id, Consumer<Vm> action) {
         node.upstream(id).ifPresent(action);
     }
 
-    private void readiness(Effect.ReadinessChanged changed) {
+    private void updateReadiness(Effect.ReadinessChanged changed) {
         ready = changed.ready();
-        parts.metrics().ready(changed.ready());
+        parts.metrics().setReady(changed.ready());
         LOGGER.log(Level.INFO, "ready: {0} ({1})", changed.ready(), changed.reason());
     }
 
-    private void decide(Effect.LogDecision log) {
-        parts.metrics().decided(log.decision().kind());
+    private void logDecision(Effect.LogDecision log) {
+        parts.metrics().recordDecision(log.decision().kind());
         parts.decisions().write(log.decision(), parts.clock().now());
     }
 }
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/Json.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/Json.java
@@ -8,43 +8,43 @@
 import java.io.UncheckedIOException;
 import java.nio.charset.StandardCharsets;
 
-/** The one JSON mapper of the process. */
+/** The JSON mapper of the process. */
 public final class Json {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     private Json() {}
 
-    /** A new object. */
+    /** Creates an empty object. */
     public static ObjectNode object() {
         return MAPPER.createObjectNode();
     }
 
-    /** Reads a value, or says what is wrong with it. */
+    /** Parses a value, or returns the parse error. */
     public static Try<JsonNode> read(byte[] bytes) {
         return Try.of(() -> MAPPER.readTree(bytes));
     }
 
-    /** Reads a value from text, or says what is wrong with it. */
+    /** Parses a value from text, or returns the parse error. */
     public static Try<JsonNode> read(String text) {
         return Try.of(() -> MAPPER.readTree(text));
     }
 
-    /** Turns any bean or record into a value. */
+    /** Converts a bean or record to a value. */
     public static JsonNode value(Object bean) {
         return MAPPER.valueToTree(bean);
     }
 
-    /** Writes a value as UTF-8. */
+    /** Serializes a value as UTF-8. */
     public static byte[] write(JsonNode value) {
         return text(value).getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Writes a value as text. */
+    /** Serializes a value as text. */
     public static String text(JsonNode value) {
         try {
             return MAPPER.writeValueAsString(value);
         } catch (JsonProcessingException impossible) {
-            throw new UncheckedIOException("a JSON tree is always writable", impossible);
+            throw new UncheckedIOException("a JSON tree is always serializable", impossible);
         }
     }
 }
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/Main.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/Main.java
@@ -10,9 +10,12 @@
 import org.wagtaillug.settings.NodeSettings;
 import org.wagtaillug.settings.SettingsProblem;
 
-/** Starts an entry node from its settings file. Exit codes: 0 ended as asked, 1 a fault, 2 wrong use. */
+/**
+ * Starts an entry node from its settings file. Exit codes: 0 after an orderly shutdown, 1 for a failure, 2 for wrong
+ * usage.
+ */
 public final class Main {
-    private static final int USAGE = 2;
+    private static final int EXIT_USAGE = 2;
 
     @Parameter(names = "--settings", description = "The node's settings file; docs/SETTINGS.md lists the fields")
     private String settings;
@@ -25,7 +28,7 @@
 
     private Main() {}
 
-    /** Runs until the process is asked to end. */
+    /** Runs until the process is asked to exit. */
     public static void main(String[] arguments) throws Exception {
         Main main = new Main();
         JCommander parser = JCommander.newBuilder()
@@ -34,9 +37,9 @@
                 .build();
         try {
             parser.parse(arguments);
-        } catch (ParameterException wrong) {
-            System.err.println("wagtaillugd: " + wrong.getMessage() + "; see wagtaillugd --help");
-            System.exit(USAGE);
+        } catch (ParameterException invalid) {
+            System.err.println("wagtaillugd: " + invalid.getMessage() + "; see wagtaillugd --help");
+            System.exit(EXIT_USAGE);
         }
         if (main.help) {
             parser.usage();
@@ -58,12 +61,12 @@
         if (settings == null) {
             System.err.println("wagtaillugd: --settings is missing; expected a settings file, for example"
                     + " examples/ramdin/node-1.yaml");
-            return USAGE;
+            return EXIT_USAGE;
         }
         Either<List<SettingsProblem>, NodeSettings> read = NodeSettings.load(Path.of(settings));
         if (read.isLeft()) {
             read.getLeft().forEach(System.err::println);
-            return USAGE;
+            return EXIT_USAGE;
         }
         LogSetup.jsonLines(System.out, read.get().log().level());
         return ProcessRun.serve("wagtaillugd", new Daemon(read.get()));
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/PemKeyStore.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/PemKeyStore.java
@@ -14,9 +14,9 @@
 import java.security.spec.PKCS8EncodedKeySpec;
 import java.util.Base64;
 
-/** Reads a certificate chain and an unencrypted PKCS#8 key, both in PEM, into a key store in memory. */
+/** Loads a certificate chain and an unencrypted PKCS#8 key, both in PEM format, into an in-memory key store. */
 final class PemKeyStore {
-    /** Protects the key within this process only. */
+    /** Password of the key store, which never leaves this process. */
     static final String PASSWORD = "in-memory";
 
     private PemKeyStore() {}
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/ByPort.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/PortRouter.java
@@ -6,13 +6,13 @@
 import org.eclipse.jetty.server.Response;
 import org.eclipse.jetty.util.Callback;
 
-/** Sends what comes in at the callers' port to one handler and everything else to another. */
-final class ByPort extends Handler.Sequence {
+/** Routes requests by port: those on the port for callers to one handler, all others to another. */
+final class PortRouter extends Handler.Sequence {
     private final Connector callersPort;
     private final Handler callers;
     private final Handler administration;
 
-    ByPort(Connector callersPort, Handler callers, Handler administration) {
+    PortRouter(Connector callersPort, Handler callers, Handler administration) {
         super(callers, administration);
         this.callersPort = callersPort;
         this.callers = callers;
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/ProcessRun.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/ProcessRun.java
@@ -2,61 +2,64 @@
 
 import java.util.concurrent.CountDownLatch;
 
-/** Runs a daemon from its start until the process is asked to end, and lets it end in order. */
+/** Runs a daemon from its start until the process is asked to exit, and shuts it down gracefully. */
 public final class ProcessRun {
-    private static final int SOFTWARE = 1;
+    private static final int EXIT_FAILURE = 1;
 
     private ProcessRun() {}
 
-    /** What a process runs. */
-    public interface Life {
-        /** Starts everything. */
+    /** The lifecycle of the program that a process runs. */
+    public interface Lifecycle {
+        /** Starts all components. */
         void start() throws Exception;
 
-        /** Reads the settings again. */
+        /** Reloads the settings. */
         default void reload() throws Exception {}
 
-        /** Notes that the process is asked to end; may come while it starts, from another thread. */
-        default void askedToEnd() {}
+        /** Called when the process is asked to exit; may be called by another thread while the process starts. */
+        default void onShutdownRequested() {}
 
-        /** Finishes what was begun. */
+        /** Finishes all accepted work. */
         void drain() throws Exception;
 
-        /** Closes everything. */
+        /** Closes all components. */
         void stop() throws Exception;
     }
 
     /**
-     * Serves until the process is asked to end; halts with 1 when it cannot serve.
+     * Runs until the process is asked to exit; halts with exit code 1 on a failure.
      *
-     * @param program stands before messages
-     * @return 0
+     * @param program name of the program, used as prefix of messages
+     * @return exit code 0
      */
-    public static int serve(String program, Life life) {
-        CountDownLatch ended = new CountDownLatch(1);
+    public static int serve(String program, Lifecycle lifecycle) {
+        CountDownLatch shutdownRequested = new CountDownLatch(1);
         CountDownLatch closed = new CountDownLatch(1);
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> endAndWait(life, ended, closed), "end"));
-        HangUp.handle(life);
+        Runtime.getRuntime()
+                .addShutdownHook(
+                        new Thread(() -> requestShutdownAndWait(lifecycle, shutdownRequested, closed), "shutdown"));
+        HangUpSignal.handle(lifecycle);
         try {
-            life.start();
-            ended.await();
-            life.drain();
-            life.stop();
+            lifecycle.start();
+            shutdownRequested.await();
+            lifecycle.drain();
+            lifecycle.stop();
         } catch (Exception fault) {
             System.err.println(program + ": cannot serve: " + fault);
-            Runtime.getRuntime().halt(SOFTWARE);
+            Runtime.getRuntime().halt(EXIT_FAILURE);
         }
         closed.countDown();
         return 0;
     }
 
-    /** Keeps the process alive after a signal until the node has drained: a request cut here would be lost. */
-    private static void endAndWait(Life life, CountDownLatch ended, CountDownLatch closed) {
-        life.askedToEnd();
-        ended.countDown();
+    /** Delays the exit after a signal until the node has drained: requests that are cut here would be lost. */
+    private static void requestShutdownAndWait(
+            Lifecycle lifecycle, CountDownLatch shutdownRequested, CountDownLatch closed) {
+        lifecycle.onShutdownRequested();
+        shutdownRequested.countDown();
         try {
             closed.await();
-            // Without this the exit code would be the signal's, as if the end had not been an orderly one.
+            // Otherwise the exit code would be that of the signal, although the shutdown was orderly.
             Runtime.getRuntime().halt(0);
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/administration/Access.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/administration/Access.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import org.wagtaillug.settings.NodeSettings;
 
-/** Who may ask for what, by the tokens in the settings. */
+/** Authorizes requests by the tokens in the settings. */
 final class Access {
     private static final String SCHEME = "Bearer ";
 
@@ -16,14 +16,14 @@
         this.accesses = accesses;
     }
 
-    /** The holder of a token, as the header {@code Authorization} brought it. */
+    /** The access that belongs to the token in an {@code Authorization} header. */
     Optional<NodeSettings.Access> holder(String header) {
         if (header == null || !header.startsWith(SCHEME)) {
             return Optional.empty();
         }
-        byte[] given = bytes(header.substring(SCHEME.length()).strip());
+        byte[] token = bytes(header.substring(SCHEME.length()).strip());
         for (NodeSettings.Access access : accesses) {
-            if (MessageDigest.isEqual(given, bytes(access.token()))) {
+            if (MessageDigest.isEqual(token, bytes(access.token()))) {
                 return Optional.of(access);
             }
         }
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/administration/AdministrationHandler.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/administration/AdministrationHandler.java
@@ -38,16 +38,16 @@
 import org.wagtaillug.settings.Contracts;
 import org.wagtaillug.settings.NodeSettings;
 
-/** The administration interface; docs/API.md describes it. */
+/** The administration API; docs/API.md describes it. */
 public final class AdministrationHandler extends Handler.Abstract {
     private static final String CONFIGURATION = "/admin/configuration/";
     private static final String CHANGES = "/admin/changes/";
     private static final String REQUESTS = "/admin/requests/";
-    private static final int LONGEST_BODY = 1024 * 1024;
-    private static final int LONGEST_CHANGE_ID = 128;
-    private static final long LONGEST_WAIT_MILLIS = 10_000;
-    private static final long MILLIS_OF_SECOND = 1000;
-    private static final long NEWEST = -1;
+    private static final int MAX_BODY_BYTES = 1024 * 1024;
+    private static final int MAX_CHANGE_ID_LENGTH = 128;
+    private static final long MAX_WAIT_MILLIS = 10_000;
+    private static final long MILLIS_PER_SECOND = 1000;
+    private static final long BASE_NEWEST = -1;
 
     private final ControlThread<Node, Event, Effect> control;
     private final PendingChanges pending;
@@ -57,7 +57,7 @@
     private final LongSupplier linkBytes;
     private final Access access;
 
-    /** Serves operators. */
+    /** Creates the handler of the administration port. */
     public AdministrationHandler(
             ControlThread<Node, Event, Effect> control,
             PendingChanges pending,
@@ -93,7 +93,7 @@
 
     private void metrics(Exchange exchange) {
         control.query((node, now) -> node.state().through()).whenComplete((through, fault) -> {
-            metrics.control(through == null ? 0 : through, control.cpuNanos(), linkBytes.getAsLong());
+            metrics.recordControl(through == null ? 0 : through, control.cpuNanos(), linkBytes.getAsLong());
             text(exchange, 200, metrics.text());
         });
     }
@@ -114,7 +114,7 @@
             get(path, exchange);
             return;
         }
-        unknown(path, exchange);
+        refuseUnknown(path, exchange);
     }
 
     private void get(String path, Exchange exchange) {
@@ -142,10 +142,10 @@
             answer(exchange, (node, now) -> Views.change(node, ready.getAsBoolean(), version.get(), now));
             return;
         }
-        unknown(path, exchange);
+        refuseUnknown(path, exchange);
     }
 
-    private void unknown(String path, Exchange exchange) {
+    private void refuseUnknown(String path, Exchange exchange) {
         String method = exchange.request().getMethod();
         String message = method + " \"" + path + "\" is not known; expected one of the calls in docs/API.md";
         refuse(exchange, ResultCode.NOT_FOUND, message);
@@ -155,7 +155,7 @@
         List<ObjectNode> about = decisions.about(request);
         if (about.isEmpty()) {
             String message =
-                    "request \"" + request + "\" is not known; expected one that this node decided about lately";
+                    "request \"" + request + "\" is not known; expected one with recent decisions on this node";
             refuse(exchange, ResultCode.NOT_FOUND, message);
             return;
         }
@@ -165,7 +165,7 @@
     private void entry(String key, Exchange exchange) {
         control.query((node, now) -> node.state().entry(key)).whenComplete((entry, fault) -> {
             if (fault != null) {
-                refuse(exchange, ResultCode.INTERNAL, "the node is ending");
+                refuse(exchange, ResultCode.INTERNAL, "the node is shutting down");
                 return;
             }
             if (entry.isEmpty()) {
@@ -189,7 +189,7 @@
 
     private void post(String path, NodeSettings.Access holder, Exchange exchange) {
         if (!path.equals("/admin/changes")) {
-            unknown(path, exchange);
+            refuseUnknown(path, exchange);
             return;
         }
         if (holder.role() != NodeSettings.Role.OPERATOR) {
@@ -199,16 +199,19 @@
         Promise.Invocable<byte[]> body = Promise.Invocable.from(
                 getInvocationType(),
                 bytes -> change(bytes, holder.operator(), exchange),
-                fault -> notWhole(fault, exchange));
-        Content.Source.asByteArrayAsync(exchange.request(), LONGEST_BODY, body);
+                fault -> refuseBody(fault, exchange));
+        Content.Source.asByteArrayAsync(exchange.request(), MAX_BODY_BYTES, body);
     }
 
-    private static void notWhole(Throwable fault, Exchange exchange) {
+    private static void refuseBody(Throwable fault, Exchange exchange) {
         if (fault instanceof IllegalStateException) {
-            refuse(exchange, ResultCode.TOO_LARGE, "the body is too long; expected at most " + LONGEST_BODY + " bytes");
+            refuse(
+                    exchange,
+                    ResultCode.TOO_LARGE,
+                    "the body is too long; expected at most " + MAX_BODY_BYTES + " bytes");
             return;
         }
-        refuse(exchange, ResultCode.BODY_CUT, "the body broke off");
+        refuse(exchange, ResultCode.BODY_CUT, "the body is incomplete");
     }
 
     private void change(byte[] bytes, OperatorId operator, Exchange exchange) {
@@ -229,19 +232,20 @@
         String changeId = json.path("change_id").asText("");
         if (key.isEmpty()
                 || changeId.isEmpty()
-                || changeId.length() > LONGEST_CHANGE_ID
+                || changeId.length() > MAX_CHANGE_ID_LENGTH
                 || !json.path("base").isIntegralNumber()) {
             return Either.left(
                     "expected \"key\", \"base\" (a version, or -1), \"change_id\" (1 to 128 characters) and \"body\"");
         }
         return Contracts.fromJson(Json.text(json.path("body")))
                 .mapLeft(problems -> problems.get(0).toString())
-                .flatMap(body -> matching(key, json.path("base").asLong(), body, changeId));
+                .flatMap(body -> checkKey(key, json.path("base").asLong(), body, changeId));
     }
 
-    private static Either<String, Submission> matching(String key, long base, Body body, String changeId) {
+    private static Either<String, Submission> checkKey(String key, long base, Body body, String changeId) {
         if (body instanceof Body.Unknown) {
-            // It stands for what a newer node wrote. Taken in, it would put out of force what nobody here can read.
+            // It represents an entry written by a newer node. If it were accepted, it would replace an entry in force
+            // by one that no node here can interpret.
             return Either.left("body.kind is \"unknown\"; expected a kind that this node knows, see docs/API.md");
         }
         if (!(body instanceof Body.Removed) && !body.key().equals(key)) {
@@ -250,32 +254,35 @@
         return Either.right(new Submission(key, base, body, changeId));
     }
 
-    private void submit(Submission wanted, OperatorId operator, Exchange exchange) {
-        PendingChanges.Known known = pending.await(wanted.changeId(), List.of(wanted, operator));
-        if (!known.same()) {
-            String message = "change id \"" + wanted.changeId() + "\" was used for another change; expected a new one";
+    private void submit(Submission submission, OperatorId operator, Exchange exchange) {
+        PendingChanges.Registration registration =
+                pending.register(submission.changeId(), List.of(submission, operator));
+        if (!registration.same()) {
+            String message =
+                    "change id \"" + submission.changeId() + "\" was used for another change; expected a new one";
             refuse(exchange, ResultCode.MALFORMED, message);
             return;
         }
-        if (known.first()) {
-            hand(wanted, operator);
+        if (registration.first()) {
+            submitFirst(submission, operator);
         }
-        known.outcome().orTimeout(LONGEST_WAIT_MILLIS, TimeUnit.MILLISECONDS).whenComplete((result, fault) -> {
+        registration.outcome().orTimeout(MAX_WAIT_MILLIS, TimeUnit.MILLISECONDS).whenComplete((result, fault) -> {
             if (fault != null) {
                 Refusal refusal = Refusal.unknown(
                         ResultCode.LOG_UNAVAILABLE, Duration.ofSeconds(1), "the log has not answered yet");
                 refuse(exchange, refusal);
                 return;
             }
-            result.peek(version -> accepted(exchange, wanted.changeId(), version))
+            result.peek(version -> accepted(exchange, submission.changeId(), version))
                     .peekLeft(refusal -> refuse(exchange, refusal));
         });
     }
 
-    private void hand(Submission wanted, OperatorId operator) {
-        control.query((node, now) -> wanted.base() == NEWEST ? node.state().versionOf(wanted.key()) : wanted.base())
-                .thenAccept(base -> control.submit(new Event.ChangeSubmitted(
-                        new LogRecord.Change(wanted.key(), base, wanted.body(), operator, wanted.changeId()))));
+    private void submitFirst(Submission submission, OperatorId operator) {
+        control.query((node, now) ->
+                        submission.base() == BASE_NEWEST ? node.state().versionOf(submission.key()) : submission.base())
+                .thenAccept(base -> control.submit(new Event.ChangeSubmitted(new LogRecord.Change(
+                        submission.key(), base, submission.body(), operator, submission.changeId()))));
     }
 
     private static void accepted(Exchange exchange, String changeId, long version) {
@@ -296,7 +303,7 @@
         body.put("message", refusal.message());
         body.put("retry_after_millis", refusal.retryAfter().toMillis());
         if (!refusal.retryAfter().isZero()) {
-            long seconds = Math.ceilDiv(refusal.retryAfter().toMillis(), MILLIS_OF_SECOND);
+            long seconds = Math.ceilDiv(refusal.retryAfter().toMillis(), MILLIS_PER_SECOND);
             exchange.response().getHeaders().put(HttpHeader.RETRY_AFTER, seconds);
         }
         write(exchange, refusal.code().status(), body);
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/administration/PendingChanges.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/administration/PendingChanges.java
@@ -8,74 +8,74 @@
 import org.wagtaillug.result.Refusal;
 
 /**
- * The changes that operators sent to this node, by change id: those that they wait for, and the outcomes of the last
- * {@value #REMEMBERED}. Used from all threads.
+ * The changes that operators sent to this node, by change id: the pending ones, and the outcomes of the last {@value
+ * #MAX_OUTCOMES}. Thread-safe.
  *
- * <p>The failure that it guards against: the answer to a change is lost on its way to the operator, who sends the change
- * again. Written to the log a second time, it could win a second time over what another operator changed in between. The
- * repeat is given the outcome of the first and never reaches the log.
+ * <p>Guards against applying a change twice: if the answer to a change is lost on its way to the operator, the operator
+ * sends the change again. Written to the log a second time, it could overwrite what another operator has changed in the
+ * meantime. The repeated change gets the outcome of the first one and is not written to the log.
  */
 public final class PendingChanges {
-    /** How many outcomes are remembered. */
-    static final int REMEMBERED = 1024;
+    /** The number of outcomes that are kept. */
+    static final int MAX_OUTCOMES = 1024;
 
-    private final Map<String, Sent> waiting = new HashMap<>();
-    private final Map<String, Sent> answered = new LinkedHashMap<>() {
+    private final Map<String, SentChange> pending = new HashMap<>();
+    private final Map<String, SentChange> answered = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Sent> eldest) {
-            return size() > REMEMBERED;
+        protected boolean removeEldestEntry(Map.Entry<String, SentChange> eldest) {
+            return size() > MAX_OUTCOMES;
         }
     };
 
-    private record Sent(Object change, CompletableFuture<Either<Refusal, Long>> outcome) {}
+    private record SentChange(Object change, CompletableFuture<Either<Refusal, Long>> outcome) {}
 
     /**
-     * What is known of a change id.
+     * The registration of a change id.
      *
-     * @param first whether the id is new, so that the change has to be submitted
-     * @param same whether the id stood for the same change before, if it is not new
-     * @param outcome the change's offset, or why not; a copy, which may be given up without harm to others that wait
+     * @param first whether the id is new, so that the change must be submitted
+     * @param same whether a known id was registered for the same change
+     * @param outcome the offset of the change, or the refusal; a copy, which may be cancelled without affecting other
+     *     waiters
      */
-    record Known(boolean first, boolean same, CompletableFuture<Either<Refusal, Long>> outcome) {}
+    record Registration(boolean first, boolean same, CompletableFuture<Either<Refusal, Long>> outcome) {}
 
     /**
-     * Notes that a change was sent and waits for its outcome; several may wait for the same.
+     * Registers a change; several callers may wait for the same one.
      *
-     * @param changeId the id that the operator gave it
-     * @param change all that was asked for, to be compared with what the id stood for before
+     * @param change the complete change, for comparison with an earlier one of the same id
      */
-    synchronized Known await(String changeId, Object change) {
-        Sent known = waiting.getOrDefault(changeId, answered.get(changeId));
-        if (known != null) {
-            return new Known(
-                    false, known.change().equals(change), known.outcome().copy());
+    synchronized Registration register(String changeId, Object change) {
+        SentChange existing = pending.getOrDefault(changeId, answered.get(changeId));
+        if (existing != null) {
+            return new Registration(
+                    false, existing.change().equals(change), existing.outcome().copy());
         }
-        Sent sent = new Sent(change, new CompletableFuture<>());
-        waiting.put(changeId, sent);
-        return new Known(true, true, sent.outcome().copy());
+        SentChange sent = new SentChange(change, new CompletableFuture<>());
+        pending.put(changeId, sent);
+        return new Registration(true, true, sent.outcome().copy());
     }
 
-    /** The change won and stands at this offset. */
+    /** Reports that the change took effect at an offset. */
     public void accepted(String changeId, long offset) {
         complete(changeId, Either.right(offset));
     }
 
-    /** The change did not win, or nobody can say. */
+    /** Reports that the change did not take effect, or that its outcome is unknown. */
     public void refused(String changeId, Refusal refusal) {
         complete(changeId, Either.left(refusal));
     }
 
     private void complete(String changeId, Either<Refusal, Long> outcome) {
-        Sent sent = take(changeId);
+        SentChange sent = markAnswered(changeId);
         if (sent != null) {
             sent.outcome().complete(outcome);
         }
     }
 
-    private synchronized Sent take(String changeId) {
-        Sent sent = waiting.remove(changeId);
+    private synchronized SentChange markAnswered(String changeId) {
+        SentChange sent = pending.remove(changeId);
         if (sent != null) {
             answered.put(changeId, sent);
         }
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/administration/Views.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/administration/Views.java
@@ -21,7 +21,7 @@
 import org.wagtaillug.node.Node;
 import org.wagtaillug.settings.Contracts;
 
-/** What operators see of a node, as JSON. Built on the control thread. */
+/** The views of a node for operators, as JSON. Built on the control thread. */
 final class Views {
     private Views() {}
 
@@ -82,13 +82,17 @@
         return view;
     }
 
-    /** Whether a version is in force at every member of the roster, and at which it is not as far as this node knows. */
+    /**
+     * Whether a version is in force at every member of the roster, and the members at which it is not, as far as this
+     * node knows.
+     */
     static ObjectNode change(Node node, boolean ready, long version, Instant now) {
         ObjectNode view = nodes(node, ready, now);
         ArrayNode waiting = Json.object().putArray("waiting_for");
-        for (JsonNode each : view.path("nodes")) {
-            if (each.path("through").asLong() < version || !each.path("fresh").asBoolean()) {
-                waiting.add(each.path("node").asText());
+        for (JsonNode member : view.path("nodes")) {
+            if (member.path("through").asLong() < version
+                    || !member.path("fresh").asBoolean()) {
+                waiting.add(member.path("node").asText());
             }
         }
         view.put("version", version);
@@ -135,12 +139,12 @@
         ObjectNode view = Json.object();
         ArrayNode ownership = view.putArray("ownership");
         for (Vm vm : node.upstreams()) {
-            ownership.add(owned(node, vm, Optional.ofNullable(grants.get(vm.id())), now));
+            ownership.add(ownershipOf(node, vm, Optional.ofNullable(grants.get(vm.id())), now));
         }
         return view;
     }
 
-    private static ObjectNode owned(Node node, Vm vm, Optional<GrantView> grant, Instant now) {
+    private static ObjectNode ownershipOf(Node node, Vm vm, Optional<GrantView> grant, Instant now) {
         ObjectNode line = Json.object();
         line.put("vm", vm.id().value());
         node.members().ownerOf(vm).ifPresent(owner -> line.put("owner", owner.toString()));
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/administration/package-info.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/administration/package-info.java
@@ -1,2 +1,2 @@
-/** The operators' side: changes, and what they ask to see. */
+/** Operators: changes and views of the node. */
 package org.wagtaillug.daemon.administration;
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/callers/CallerStream.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/callers/CallerStream.java
@@ -7,28 +7,29 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * Writes server-sent events without blocking: one write at a time, what comes meanwhile goes out together with the next.
+ * Writes server-sent events without blocking. Writes one buffer at a time; events that are added in the meantime are
+ * written together with the next buffer.
  */
 final class CallerStream {
     private final Content.Sink sink;
-    private final Callback whole;
+    private final Callback completion;
     private final ByteArrayOutputStream pending = new ByteArrayOutputStream();
     private boolean writing;
     private boolean ending;
     private boolean ended;
 
     /**
-     * Wraps a response whose head is set.
+     * Creates a stream on a response whose header is set.
      *
      * @param sink the response
-     * @param whole completed when the last byte is out, failed when the caller is gone
+     * @param completion completed when the last byte is written, failed when the caller has disconnected
      */
-    CallerStream(Content.Sink sink, Callback whole) {
+    CallerStream(Content.Sink sink, Callback completion) {
         this.sink = sink;
-        this.whole = whole;
+        this.completion = completion;
     }
 
-    /** Sends one event; {@code name} is empty for the default one. */
+    /** Sends one event; {@code name} is empty for the default event type. */
     synchronized void event(String name, String data) {
         if (ending) {
             return;
@@ -55,8 +56,8 @@
     }
 
     private void writeNext() {
-        boolean nothing = pending.size() == 0 && !ending;
-        if (writing || ended || nothing) {
+        boolean nothingToWrite = pending.size() == 0 && !ending;
+        if (writing || ended || nothingToWrite) {
             return;
         }
         ByteBuffer bytes = ByteBuffer.wrap(pending.toByteArray());
@@ -70,7 +71,7 @@
     private synchronized void written(boolean last) {
         writing = false;
         if (last) {
-            whole.succeeded();
+            completion.succeeded();
             return;
         }
         writeNext();
@@ -81,6 +82,6 @@
         if (!ended) {
             ended = true;
         }
-        whole.failed(cause);
+        completion.failed(cause);
     }
 }
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/callers/CallersHandler.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/callers/CallersHandler.java
@@ -27,30 +27,33 @@
 
 /** Serves {@code POST /v1/templates/{template}/requests}, {@code /readyz} and {@code /healthz}. */
 public final class CallersHandler extends Handler.Abstract.NonBlocking {
-    private static final String BEFORE = "/v1/templates/";
-    private static final String AFTER = "/requests";
+    private static final String PATH_PREFIX = "/v1/templates/";
+    private static final String PATH_SUFFIX = "/requests";
 
-    private static final Duration COME_BACK = Duration.ofSeconds(1);
+    private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
     private final Exchanges exchanges;
     private final Consumer<Event> events;
     private final MonotonicClock clock;
     private final BooleanSupplier ready;
     private final Limits limits;
-    private final OpenAnswers answers = new OpenAnswers();
+    private final PendingAnswers pendingAnswers = new PendingAnswers();
     private final Set<CompletableFuture<byte[]>> bodies = ConcurrentHashMap.newKeySet();
     private volatile boolean draining;
-    private volatile boolean ended;
+    private volatile boolean refusingAll;
 
     /**
-     * What one caller may send.
+     * The limits of one request.
      *
-     * @param bodyBytes the longest body
-     * @param senderTimeout the longest time from the head to the end of the body
+     * @param bodyBytes the maximum length of the body
+     * @param senderTimeout the maximum time from the header to the end of the body
      */
     public record Limits(int bodyBytes, Duration senderTimeout) {}
 
-    /** Serves callers; requests go to {@code events}, answers come back through {@code exchanges}. */
+    /**
+     * Creates a handler that passes requests to {@code events} and registers them in {@code exchanges} for their
+     * answers.
+     */
     public CallersHandler(
             Exchanges exchanges, Consumer<Event> events, MonotonicClock clock, BooleanSupplier ready, Limits limits) {
         this.exchanges = exchanges;
@@ -60,27 +63,27 @@
         this.limits = limits;
     }
 
-    /** From now on an answer ends its connection, so that the next request goes to another node. */
+    /** Closes each connection after its next answer, so that the next request goes to another node. */
     public void drain() {
         draining = true;
         exchanges.closeAfterAnswers();
     }
 
-    /** From now on every request is refused as not run, also one whose body is still on its way. */
-    public void end() {
-        ended = true;
+    /** Refuses every request from now on as not executed, including those whose body is still being received. */
+    public void refuseAll() {
+        refusingAll = true;
         for (CompletableFuture<byte[]> body : bodies) {
             body.cancel(false);
         }
     }
 
     /**
-     * Waits until every request that has come has its answer, written whole.
+     * Waits until the answers to all received requests are completely written.
      *
-     * @return false if one has not after the longest time
+     * @return false on a time-out
      */
-    public boolean awaitAnswered(Duration longest) throws InterruptedException {
-        return answers.awaitNone(longest);
+    public boolean awaitAnswers(Duration timeout) throws InterruptedException {
+        return pendingAnswers.awaitEmpty(timeout);
     }
 
     @Override
@@ -90,29 +93,30 @@
             response.getHeaders().put(HttpHeader.CONNECTION, "close");
         }
         switch (path) {
-            case "/healthz" -> plain(response, callback, true, "alive");
+            case "/healthz" -> plainText(response, callback, true, "alive");
             case "/readyz" ->
-                plain(response, callback, ready.getAsBoolean(), ready.getAsBoolean() ? "ready" : "not ready");
+                plainText(response, callback, ready.getAsBoolean(), ready.getAsBoolean() ? "ready" : "not ready");
             default -> {
-                return pipeline(path, request, response, callback);
+                return handleTemplateRequest(path, request, response, callback);
             }
         }
         return true;
     }
 
-    private static void plain(Response response, Callback callback, boolean good, String text) {
-        response.setStatus(good ? 200 : 503);
+    private static void plainText(Response response, Callback callback, boolean healthy, String text) {
+        response.setStatus(healthy ? 200 : 503);
         response.getHeaders().put(HttpHeader.CONTENT_TYPE, "text/plain");
         Content.Sink.write(response, true, text + "\n", callback);
     }
 
-    private boolean pipeline(String path, Request request, Response response, Callback callback) {
-        boolean ours =
-                path.startsWith(BEFORE) && path.endsWith(AFTER) && path.length() > BEFORE.length() + AFTER.length();
-        if (!ours || !HttpMethod.POST.is(request.getMethod())) {
+    private boolean handleTemplateRequest(String path, Request request, Response response, Callback callback) {
+        boolean matches = path.startsWith(PATH_PREFIX)
+                && path.endsWith(PATH_SUFFIX)
+                && path.length() > PATH_PREFIX.length() + PATH_SUFFIX.length();
+        if (!matches || !HttpMethod.POST.is(request.getMethod())) {
             return false;
         }
-        read(path, request, response, answers.count(callback));
+        read(path, request, response, pendingAnswers.count(callback));
         return true;
     }
 
@@ -121,20 +125,20 @@
             refuse(tooLarge(), response, callback);
             return;
         }
-        String template = path.substring(BEFORE.length(), path.length() - AFTER.length());
+        String template = path.substring(PATH_PREFIX.length(), path.length() - PATH_SUFFIX.length());
         CompletableFuture<byte[]> body = new CompletableFuture<>();
         bodies.add(body);
-        if (ended) {
+        if (refusingAll) {
             body.cancel(false);
         }
-        Content.Source.asByteArrayAsync(request, limits.bodyBytes(), whole(body));
+        Content.Source.asByteArrayAsync(request, limits.bodyBytes(), completing(body));
         body.orTimeout(limits.senderTimeout().toMillis(), TimeUnit.MILLISECONDS).whenComplete((bytes, fault) -> {
             bodies.remove(body);
-            arrived(template, bytes, fault, new Exchange(request, response, callback));
+            onBodyRead(template, bytes, fault, new Exchange(request, response, callback));
         });
     }
 
-    private static Promise.Invocable<byte[]> whole(CompletableFuture<byte[]> body) {
+    private static Promise.Invocable<byte[]> completing(CompletableFuture<byte[]> body) {
         return new Promise.Invocable.NonBlocking<>() {
             @Override
             public void succeeded(byte[] bytes) {
@@ -150,13 +154,13 @@
 
     private record Exchange(Request request, Response response, Callback callback) {}
 
-    private void arrived(String template, byte[] bytes, Throwable fault, Exchange exchange) {
+    private void onBodyRead(String template, byte[] bytes, Throwable fault, Exchange exchange) {
         if (fault != null) {
-            refuse(cut(fault), exchange.response(), exchange.callback());
+            refuse(bodyRefusal(fault), exchange.response(), exchange.callback());
             return;
         }
         var now = clock.now();
-        Either<Refusal, RequestReader.Read> read =
+        Either<Refusal, RequestReader.ParsedRequest> read =
                 RequestReader.read(template, exchange.request().getHeaders(), bytes, now);
         if (read.isLeft()) {
             refuse(read.getLeft(), exchange.response(), exchange.callback());
@@ -175,15 +179,14 @@
                     exchange.callback());
             return;
         }
-        // The deadline ends a request, not the silence until its answer: a connection that is cut while the work goes
-        // on
-        // would leave its caller with nothing known.
+        // Requests end at their deadline, not when the connection is idle until the answer: if it were closed while the
+        // work continues, the caller would not learn the outcome.
         exchange.request().addIdleTimeoutListener(timeout -> false);
-        caller.onGone(this::gone, exchange.request());
+        caller.onDisconnect(this::onDisconnect, exchange.request());
         events.accept(new Event.RequestArrived(caller.request()));
     }
 
-    private void gone(CallerExchange caller) {
+    private void onDisconnect(CallerExchange caller) {
         events.accept(new Event.CallerLeft(caller.request().id()));
     }
 
@@ -192,17 +195,18 @@
         return Refusal.notRun(ResultCode.TOO_LARGE, Duration.ZERO, message);
     }
 
-    private Refusal cut(Throwable fault) {
+    private Refusal bodyRefusal(Throwable fault) {
         if (fault instanceof TimeoutException) {
-            String message = "the body did not come whole within "
-                    + limits.senderTimeout().toMillis() + " ms";
+            String message =
+                    "the body was not complete within " + limits.senderTimeout().toMillis() + " ms";
             return Refusal.notRun(ResultCode.BODY_CUT, Duration.ZERO, message);
         }
         if (fault instanceof CancellationException) {
-            return Refusal.notRun(ResultCode.SHUTTING_DOWN, COME_BACK, "the node is shutting down; ask another");
+            return Refusal.notRun(
+                    ResultCode.SHUTTING_DOWN, RETRY_AFTER, "the node is shutting down; retry on another node");
         }
-        boolean large = fault instanceof IllegalStateException || fault.getCause() instanceof IllegalStateException;
-        return large ? tooLarge() : Refusal.notRun(ResultCode.BODY_CUT, Duration.ZERO, "the body broke off");
+        boolean tooLong = fault instanceof IllegalStateException || fault.getCause() instanceof IllegalStateException;
+        return tooLong ? tooLarge() : Refusal.notRun(ResultCode.BODY_CUT, Duration.ZERO, "the body is incomplete");
     }
 
     private static void refuse(Refusal refusal, Response response, Callback callback) {
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/callers/Exchanges.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/callers/Exchanges.java
@@ -5,11 +5,11 @@
 import java.util.concurrent.ConcurrentHashMap;
 import org.wagtaillug.id.RequestId;
 
-/** The exchanges that have no final answer yet, by request. */
+/** The exchanges without a final answer, by request id. */
 public final class Exchanges {
     private final Map<RequestId, CallerExchange> open = new ConcurrentHashMap<>();
 
-    /** Adds an exchange; false if one of the same request id is open. */
+    /** Adds an exchange; returns false if one with the same request id is open. */
     boolean add(CallerExchange exchange) {
         return open.putIfAbsent(exchange.request().id(), exchange) == null;
     }
@@ -19,17 +19,17 @@
         return Optional.ofNullable(open.get(id));
     }
 
-    /** Takes the exchange of a request out, to answer it. */
-    public Optional<CallerExchange> take(RequestId id) {
+    /** Removes and returns the exchange of a request, to answer it. */
+    public Optional<CallerExchange> remove(RequestId id) {
         return Optional.ofNullable(open.remove(id));
     }
 
-    /** The answers of those that are open end their connections. */
+    /** Closes the connections of the open exchanges after their answers. */
     void closeAfterAnswers() {
         open.values().forEach(CallerExchange::closeAfterAnswer);
     }
 
-    /** How many are open. */
+    /** The number of open exchanges. */
     public int size() {
         return open.size();
     }
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/callers/RequestReader.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/callers/RequestReader.java
@@ -26,23 +26,23 @@
 import org.wagtaillug.result.Refusal;
 import org.wagtaillug.result.ResultCode;
 
-/** Checks a caller's headers and body at the door and makes a {@link Request} of them. */
+/** Validates the headers and the body of a caller's request and builds a {@link Request}. */
 final class RequestReader {
     /** The header that names the customer. */
     static final String CUSTOMER = "Wagtaillug-Customer";
 
-    /** The header with the caller's own request id. */
+    /** The header with the request id that the caller has chosen. */
     static final String REQUEST = "Wagtaillug-Request";
 
-    /** The header with the time to the caller's deadline, in milliseconds from now. */
+    /** The header with the time until the deadline, in milliseconds. */
     static final String DEADLINE = "Wagtaillug-Deadline-Millis";
 
     /** The header with the idempotency key, a UUID of version 7. */
     static final String KEY = "Idempotency-Key";
 
-    private static final int TIME_ORDERED_VERSION = 7;
-    private static final int TIME_SHIFT = 16;
-    private static final long LONGEST_DEADLINE_MILLIS = Duration.ofHours(1).toMillis();
+    private static final int KEY_UUID_VERSION = 7;
+    private static final int UUID_TIMESTAMP_SHIFT = 16;
+    private static final long MAX_DEADLINE_MILLIS = Duration.ofHours(1).toMillis();
     private static final ObjectMapper STRICT = JsonMapper.builder()
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
             .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
@@ -51,14 +51,14 @@
     private RequestReader() {}
 
     /**
-     * A request and the body that it came with.
+     * A parsed request.
      *
-     * @param request for the node
-     * @param body for prompts and streaming
+     * @param request the request
+     * @param body its body, for prompts and streaming
      */
-    record Read(Request request, JsonNode body) {}
+    record ParsedRequest(Request request, JsonNode body) {}
 
-    static Either<Refusal, Read> read(String template, HttpFields headers, byte[] bytes, Instant now) {
+    static Either<Refusal, ParsedRequest> read(String template, HttpFields headers, byte[] bytes, Instant now) {
         return Try.of(() -> parse(template, headers, bytes, now)).toEither().mapLeft(RequestReader::malformed);
     }
 
@@ -69,9 +69,10 @@
         return Refusal.notRun(ResultCode.MALFORMED, Duration.ZERO, message);
     }
 
-    private static Read parse(String template, HttpFields headers, byte[] bytes, Instant now) throws Exception {
+    private static ParsedRequest parse(String template, HttpFields headers, byte[] bytes, Instant now)
+            throws Exception {
         JsonNode body = STRICT.readTree(bytes);
-        check(body);
+        validate(body);
         String customer = headers.get(CUSTOMER);
         if (customer == null) {
             throw new IllegalArgumentException("header " + CUSTOMER + " is missing; expected a customer's name");
@@ -92,10 +93,10 @@
         if (key != null) {
             request.key(new IdempotencyKey(customerId, key, issuedAt(key)));
         }
-        return new Read(request.build(), body);
+        return new ParsedRequest(request.build(), body);
     }
 
-    private static void check(JsonNode body) {
+    private static void validate(JsonNode body) {
         if (!body.isObject()) {
             throw new IllegalArgumentException(
                     "the body is " + body.getNodeType() + "; expected an object with \"input\"");
@@ -121,22 +122,22 @@
         long millis = Try.of(() -> Long.parseLong(text))
                 .getOrElseThrow(() -> new IllegalArgumentException(
                         "header " + DEADLINE + " is \"" + text + "\"; expected milliseconds as a whole number"));
-        return Math.min(millis, LONGEST_DEADLINE_MILLIS);
+        return Math.min(millis, MAX_DEADLINE_MILLIS);
     }
 
     /**
-     * When the key was made, as it says itself. Without that nobody could tell whether the log has already forgotten
-     * that the key ran.
+     * The creation time that is encoded in the key. Without it, it would be unknown whether the record of the key's
+     * execution is already past the retention of the log.
      */
     private static Instant issuedAt(String key) {
-        UUID uuid = Try.of(() -> UUID.fromString(key)).getOrElseThrow(() -> wrongKey(key));
-        if (uuid.version() != TIME_ORDERED_VERSION) {
-            throw wrongKey(key);
+        UUID uuid = Try.of(() -> UUID.fromString(key)).getOrElseThrow(() -> invalidKey(key));
+        if (uuid.version() != KEY_UUID_VERSION) {
+            throw invalidKey(key);
         }
-        return Instant.ofEpochMilli(uuid.getMostSignificantBits() >>> TIME_SHIFT);
+        return Instant.ofEpochMilli(uuid.getMostSignificantBits() >>> UUID_TIMESTAMP_SHIFT);
     }
 
-    private static IllegalArgumentException wrongKey(String key) {
+    private static IllegalArgumentException invalidKey(String key) {
         return new IllegalArgumentException("header " + KEY + " is \"" + key
                 + "\"; expected a UUID of version 7, for example 0193f1b2-7c00-7abc-8def-0123456789ab");
     }
@@ -146,8 +147,8 @@
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
             digest.update(template.getBytes(StandardCharsets.UTF_8));
             digest.update((byte) 0);
-            byte[] whole = digest.digest(input);
-            return HexFormat.of().formatHex(whole, 0, 16);
+            byte[] hash = digest.digest(input);
+            return HexFormat.of().formatHex(hash, 0, 16);
         } catch (NoSuchAlgorithmException impossible) {
             throw new IllegalStateException("every JDK has SHA-256", impossible);
         }
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/callers/package-info.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/callers/package-info.java
@@ -1,2 +1,2 @@
-/** The callers' side: requests in, whole answers or refusals out. */
+/** Callers: receives requests and sends complete answers or refusals. */
 package org.wagtaillug.daemon.callers;
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/control/ControlThread.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/control/ControlThread.java
@@ -18,21 +18,22 @@
 import java.util.function.Function;
 
 /**
- * Runs all decisions of the node one after the other; everything else hands events to it and gets effects from it.
+ * Runs all decisions of the node sequentially on one thread; other threads submit events and the resulting effects are
+ * passed to a runner.
  *
- * @param <N> what decides
- * @param <E> what happens outside
- * @param <F> what has to be done
+ * @param <N> type of the node that makes decisions
+ * @param <E> type of its events
+ * @param <F> type of its effects
  */
 public final class ControlThread<N, E, F> implements AutoCloseable {
     private static final Logger LOGGER = System.getLogger(ControlThread.class.getName());
-    /** The time between two ticks of a node that does not say how long it can wait. */
-    public static final Duration TICK = Duration.ofMillis(20);
+    /** The tick interval of a node that does not define one. */
+    public static final Duration DEFAULT_TICK_INTERVAL = Duration.ofMillis(20);
 
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
     private final N node;
-    private final Decide<N, E, F> decide;
+    private final DecisionFunction<N, E, F> decide;
     private final E tick;
     private final MonotonicClock clock;
     private final Function<N, Duration> tickInterval;
@@ -40,33 +41,37 @@
     private volatile Consumer<F> effects = effect -> {};
     private volatile long threadId;
     private ScheduledFuture<?> nextTick;
-    private boolean started;
+    private boolean ticking;
 
     /**
-     * Takes in one event and gives what has to be done, in order.
+     * Handles one event and returns the resulting effects, in order.
      *
-     * @param <N> what decides
-     * @param <E> what happens outside
-     * @param <F> what has to be done
+     * @param <N> type of the node that makes decisions
+     * @param <E> type of its events
+     * @param <F> type of its effects
      */
     @FunctionalInterface
-    public interface Decide<N, E, F> {
-        /** Takes in one event. */
+    public interface DecisionFunction<N, E, F> {
+        /** Handles one event. */
         List<F> handle(N node, E event, Instant now);
     }
 
-    /** Prepares the thread; nothing runs before {@link #start}. */
-    public ControlThread(N node, Decide<N, E, F> decide, E tick, MonotonicClock clock) {
-        this(node, decide, tick, clock, any -> TICK);
+    /** Creates the thread; nothing runs before {@link #start}. */
+    public ControlThread(N node, DecisionFunction<N, E, F> decide, E tick, MonotonicClock clock) {
+        this(node, decide, tick, clock, ignored -> DEFAULT_TICK_INTERVAL);
     }
 
     /**
-     * Prepares the thread; nothing runs before {@link #start}.
+     * Creates the thread; nothing runs before {@link #start}.
      *
-     * @param tickInterval how long the node can wait for its next tick, as it is now
+     * @param tickInterval gives the time until the next tick in the present state of the node
      */
     public ControlThread(
-            N node, Decide<N, E, F> decide, E tick, MonotonicClock clock, Function<N, Duration> tickInterval) {
+            N node,
+            DecisionFunction<N, E, F> decide,
+            E tick,
+            MonotonicClock clock,
+            Function<N, Duration> tickInterval) {
         this.node = node;
         this.decide = decide;
         this.tick = tick;
@@ -79,17 +84,17 @@
         });
     }
 
-    /** Begins to let time pass; effects go to the given runner, on the control thread. */
+    /** Starts the ticks; effects are passed to the given runner on the control thread. */
     public void start(Consumer<F> runner) {
         effects = runner;
         executor.execute(() -> {
             threadId = Thread.currentThread().threadId();
-            started = true;
+            ticking = true;
             tick();
         });
     }
 
-    /** Hands in an event from any thread. */
+    /** Submits an event from any thread. */
     public void submit(E event) {
         try {
             executor.execute(() -> {
@@ -97,7 +102,10 @@
                 advanceTick();
             });
         } catch (RejectedExecutionException closed) {
-            LOGGER.log(Level.DEBUG, "event after the end: {0}", event.getClass().getSimpleName());
+            LOGGER.log(
+                    Level.DEBUG,
+                    "event ignored after close: {0}",
+                    event.getClass().getSimpleName());
         }
     }
 
@@ -106,7 +114,7 @@
         return CompletableFuture.supplyAsync(() -> question.apply(node, clock.now()), executor);
     }
 
-    /** The processor time that the thread has used, in nanoseconds. */
+    /** The processor time of the thread, in nanoseconds. */
     public long cpuNanos() {
         return THREADS.getThreadCpuTime(threadId);
     }
@@ -120,9 +128,9 @@
         nextTick = executor.schedule(this::tick, interval.toMillis(), TimeUnit.MILLISECONDS);
     }
 
-    /** An event may leave the node with something to do before the tick that is scheduled. */
+    /** Brings the next tick forward if, after an event, the node needs it earlier than scheduled. */
     private void advanceTick() {
-        if (!started) {
+        if (!ticking) {
             return;
         }
         Duration interval = tickInterval.apply(node);
@@ -132,13 +140,15 @@
     }
 
     private void handle(E event) {
-        List<F> wanted = decide(event);
-        for (F effect : wanted) {
+        List<F> produced = decide(event);
+        for (F effect : produced) {
             run(effect);
         }
     }
 
-    /** A fault in one event must not end the thread: every later request of the node would hang without an answer. */
+    /**
+     * An exception in one event must not end the thread: all later requests to the node would hang without an answer.
+     */
     private List<F> decide(E event) {
         try {
             return decide.handle(node, event, clock.now());
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/control/MonotonicClock.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/control/MonotonicClock.java
@@ -6,15 +6,16 @@
 import java.util.function.LongSupplier;
 
 /**
- * The present time of this process: the wall clock at the start, and from there only forwards.
+ * The current time of this process: the wall-clock time at the start plus the monotonic time since, so it never goes
+ * back.
  *
- * <p>Leases are lengths, so lengths are what is measured, with the monotonic clock. Two failures stand against it. A wall
- * clock that is set back would prolong every lease; it is ignored. A VM that is suspended may find its monotonic clock
- * stopped meanwhile, while other nodes' clocks went on; on waking it would hold its leases for good. It shows as a wall
- * clock that has gained on the monotonic one, and the gain is added: leases then end early, never late.
+ * <p>Leases are durations, so they are measured with the monotonic clock. Two failures are covered. A wall clock that
+ * is set back would prolong every lease; the step is ignored. On a suspended VM the monotonic clock may stop while the
+ * clocks of other nodes go on, and after waking the VM would hold its leases indefinitely. Then the wall clock has
+ * gained on the monotonic clock, and the gain is added: leases end early, never late.
  */
 public final class MonotonicClock {
-    private static final Duration SUSPICIOUS_GAIN = Duration.ofSeconds(1);
+    private static final Duration MAX_WALL_CLOCK_GAIN = Duration.ofSeconds(1);
 
     private final Clock wall;
     private final LongSupplier nanos;
@@ -22,7 +23,7 @@
     private final long startNanos;
     private Duration gained = Duration.ZERO;
 
-    /** A clock on this machine's clocks. */
+    /** Creates a clock that uses the system clocks. */
     public MonotonicClock() {
         this(Clock.systemUTC(), System::nanoTime);
     }
@@ -34,15 +35,15 @@
         this.startNanos = nanos.getAsLong();
     }
 
-    /** The present time. */
+    /** The current time. */
     public synchronized Instant now() {
-        Duration measured = Duration.ofNanos(nanos.getAsLong() - startNanos).plus(gained);
-        Duration shown = Duration.between(start, wall.instant());
-        Duration gain = shown.minus(measured);
-        if (gain.compareTo(SUSPICIOUS_GAIN) > 0) {
+        Duration elapsed = Duration.ofNanos(nanos.getAsLong() - startNanos).plus(gained);
+        Duration wallElapsed = Duration.between(start, wall.instant());
+        Duration gain = wallElapsed.minus(elapsed);
+        if (gain.compareTo(MAX_WALL_CLOCK_GAIN) > 0) {
             gained = gained.plus(gain);
-            measured = shown;
+            elapsed = wallElapsed;
         }
-        return start.plus(measured);
+        return start.plus(elapsed);
     }
 }
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/control/package-info.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/control/package-info.java
@@ -1,2 +1,2 @@
-/** The one thread that owns all control state, and the clock that it decides by. */
+/** The single thread that owns all control state, and its clock. */
 package org.wagtaillug.daemon.control;
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/metrics/MetricsText.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/metrics/MetricsText.java
@@ -7,11 +7,11 @@
 import java.io.UncheckedIOException;
 import java.nio.charset.StandardCharsets;
 
-/** Writes the figures of a registry as text. */
+/** Formats the metrics of a registry as text. */
 public final class MetricsText {
     private MetricsText() {}
 
-    /** All figures in Prometheus's text format. */
+    /** All metrics in Prometheus's text format. */
     public static String of(PrometheusRegistry registry) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try {
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/metrics/NodeMetrics.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/metrics/NodeMetrics.java
@@ -13,10 +13,10 @@
 import org.wagtaillug.dispatch.AttemptEnd;
 import org.wagtaillug.result.ResultCode;
 
-/** Counts answers, attempts and the cost of control. Names and labels are listed in docs/OPERATIONS.md. */
+/** Metrics of answers, attempts and the cost of control. Names and labels are listed in docs/OPERATIONS.md. */
 public final class NodeMetrics {
     private static final double NANOS_PER_SECOND = 1e9;
-    private static final double[] SECONDS = {0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10};
+    private static final double[] BUCKETS_SECONDS = {0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10};
 
     private final PrometheusRegistry registry = new PrometheusRegistry();
     private final Counter answers = Counter.builder()
@@ -28,7 +28,7 @@
             .name("wagtaillug_request_seconds")
             .help("Time from the whole request to the final answer")
             .labelNames("template", "outcome")
-            .classicUpperBounds(SECONDS)
+            .classicUpperBounds(BUCKETS_SECONDS)
             .classicOnly()
             .register(registry);
     private final Counter attempts = Counter.builder()
@@ -54,19 +54,20 @@
     private final Gauge linkBytes =
             gauge("wagtaillug_link_bytes", "Bytes between this node and others since the start, both ways");
 
-    /** Creates the figures of a node. */
+    /** Creates the metrics of a node. */
     public NodeMetrics() {
         OperatingSystemMXBean process = ManagementFactory.getPlatformMXBean(OperatingSystemMXBean.class);
         MemoryMXBean memory = ManagementFactory.getMemoryMXBean();
         GaugeWithCallback.builder()
                 .name("wagtaillug_process_cpu_seconds")
                 .help("Processor time of the whole process since the start")
-                .callback(figure -> figure.call(process.getProcessCpuTime() / NANOS_PER_SECOND))
+                .callback(measurement -> measurement.call(process.getProcessCpuTime() / NANOS_PER_SECOND))
                 .register(registry);
         GaugeWithCallback.builder()
                 .name("wagtaillug_heap_bytes")
                 .help("Bytes of the heap in use, garbage that is not yet collected included")
-                .callback(figure -> figure.call(memory.getHeapMemoryUsage().getUsed()))
+                .callback(measurement ->
+                        measurement.call(memory.getHeapMemoryUsage().getUsed()))
                 .register(registry);
     }
 
@@ -74,40 +75,40 @@
         return Gauge.builder().name(name).help(help).register(registry);
     }
 
-    /** Notes a final answer. */
-    public void answered(String customer, String template, ResultCode code, String run, Duration took) {
+    /** Records a final answer. */
+    public void recordAnswer(String customer, String template, ResultCode code, String run, Duration took) {
         answers.labelValues(customer, template, Integer.toString(code.number()), run)
                 .inc();
         String outcome = code == ResultCode.SERVED ? "served" : "refused";
         requestSeconds.labelValues(template, outcome).observe(took.toNanos() / NANOS_PER_SECOND);
     }
 
-    /** Notes the end of an attempt. */
-    public void attempted(Attempt attempt, AttemptEnd end, Duration took) {
+    /** Records the end of an attempt. */
+    public void recordAttempt(Attempt attempt, AttemptEnd end, Duration took) {
         String stage = attempt.stage().id().value();
-        String how = end.getClass().getSimpleName();
-        attempts.labelValues(stage, how).inc();
-        stageSeconds.labelValues(stage, how).inc(took.toNanos() / NANOS_PER_SECOND);
+        String endName = end.getClass().getSimpleName();
+        attempts.labelValues(stage, endName).inc();
+        stageSeconds.labelValues(stage, endName).inc(took.toNanos() / NANOS_PER_SECOND);
     }
 
-    /** Notes a decision. */
-    public void decided(String kind) {
+    /** Records a decision. */
+    public void recordDecision(String kind) {
         decisions.labelValues(kind).inc();
     }
 
-    /** Notes whether the node takes new requests. */
-    public void ready(boolean value) {
+    /** Records whether the node accepts new requests. */
+    public void setReady(boolean value) {
         ready.set(value ? 1 : 0);
     }
 
-    /** Notes what control has cost and how far the control stream is read. */
-    public void control(long through, long cpuNanos, long bytes) {
+    /** Records the cost of control and the last offset of the control stream that was read. */
+    public void recordControl(long through, long cpuNanos, long bytes) {
         configurationOffset.set(through);
         controlSeconds.set(cpuNanos / NANOS_PER_SECOND);
         linkBytes.set(bytes);
     }
 
-    /** All figures in Prometheus's text format. */
+    /** All metrics in Prometheus's text format. */
     public String text() {
         return MetricsText.of(registry);
     }
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/metrics/package-info.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/metrics/package-info.java
@@ -1,2 +1,2 @@
-/** What the node tells a Prometheus server about itself. */
+/** The metrics of a node for Prometheus. */
 package org.wagtaillug.daemon.metrics;
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/package-info.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/package-info.java
@@ -1,2 +1,2 @@
-/** The entry node's process: the frame that carries out a node's effects over real connections. */
+/** The process of an entry node: carries out the effects of the decision logic over real connections. */
 package org.wagtaillug.daemon;
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/platform/PlatformClient.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/platform/PlatformClient.java
@@ -32,14 +32,14 @@
 import org.wagtaillug.node.Effect;
 import org.wagtaillug.node.Event;
 
-/** Carries out the effects that concern the platform, and hands its answers back as events. */
+/** Carries out the effects that concern the platform and reports its answers as events. */
 public final class PlatformClient {
     private static final int READ_LIMIT = 500;
     private static final int READ_WAIT_MILLIS = 500;
     private static final int LOG_TIMEOUT_MILLIS = 2000;
     private static final int LOAD_TIMEOUT_MILLIS = 500;
     private static final int ORDER_TIMEOUT_MILLIS = 2000;
-    private static final int LONGEST_ANSWER = 64 * 1024 * 1024;
+    private static final int MAX_ANSWER_BYTES = 64 * 1024 * 1024;
     private static final int OK = 200;
 
     private final HttpClient client;
@@ -51,14 +51,14 @@
     private final LogRecordCodec codec = new LogRecordCodec();
 
     /**
-     * Speaks to the platform.
+     * Creates a client of the platform.
      *
-     * @param client without retries of its own
-     * @param log the log service's address
-     * @param vms the VM list's address
-     * @param clock for the sending time of reads
-     * @param events takes the answers
-     * @param traffic makes and sends the requests, so that the control thread does not
+     * @param client an HTTP client that does not retry
+     * @param log the address of the log service
+     * @param vms the address of the VM list
+     * @param clock supplies the sending time of reads
+     * @param events receives the answers
+     * @param traffic creates and sends the requests, so that the control thread does not
      */
     public PlatformClient(
             HttpClient client, URI log, URI vms, MonotonicClock clock, Consumer<Event> events, Executor traffic) {
@@ -70,9 +70,11 @@
         this.traffic = traffic;
     }
 
-    /** Reads a stream, waiting a moment at its tail. */
+    /**
+     * Reads a stream; at its tail the log service delays its answer until a record arrives or a short time has passed.
+     */
     public void readLog(Effect.ReadLog read) {
-        Instant askedAt = clock.now();
+        Instant sentAt = clock.now();
         Request request = client.newRequest(log)
                 .path("/streams/" + read.stream().text() + "/records")
                 .param("from", Long.toString(read.from()))
@@ -83,7 +85,7 @@
                 events.accept(new Event.LogReadFailed(read.stream()));
                 return;
             }
-            events.accept(new Event.LogRead(read.stream(), askedAt, batch(read.from(), body)));
+            events.accept(new Event.LogRead(read.stream(), sentAt, batch(read.from(), body)));
         });
     }
 
@@ -97,15 +99,15 @@
         return new LogBatch(from, body.path("oldest").asLong(), body.path("end").asLong(), entries);
     }
 
-    /** Appends a record, once. An answer that does not come leaves open whether it took effect. */
+    /** Appends a record without a retry. If the answer is lost, it is unknown whether the record was appended. */
     public void append(Effect.AppendToLog append) {
         byte[] bytes = codec.encode(append.record());
         Request request = client.newRequest(log)
                 .method(HttpMethod.POST)
                 .path("/streams/" + append.stream().text() + "/records")
                 .body(new BytesRequestContent("application/octet-stream", bytes));
-        Sent sent = new Sent();
-        request.onRequestBegin(ignored -> sent.begun = true);
+        SendState state = new SendState();
+        request.onRequestBegin(ignored -> state.started = true);
         send(request, LOG_TIMEOUT_MILLIS, (status, body) -> {
             if (status == OK) {
                 events.accept(new Event.LogAppended(
@@ -113,16 +115,16 @@
                 return;
             }
             boolean refused = status >= 400;
-            events.accept(new Event.LogAppendFailed(append.append(), sent.begun && !refused));
+            events.accept(new Event.LogAppendFailed(append.append(), state.started && !refused));
         });
     }
 
-    /** Whether a request began to leave. */
-    private static final class Sent {
-        private volatile boolean begun;
+    /** Records whether sending a request has started. */
+    private static final class SendState {
+        private volatile boolean started;
     }
 
-    /** Reads the list of VMs; a failure is silent, the list that is known stays. */
+    /** Reads the list of VMs; a failed read is not reported, and the known list stays in use. */
     public void readVmList() {
         send(client.newRequest(vms).path("/vms"), LOG_TIMEOUT_MILLIS, (status, body) -> {
             if (status == OK) {
@@ -147,8 +149,8 @@
         return list;
     }
 
-    /** Asks an upstream for its load. */
-    public void askLoad(Vm upstream) {
+    /** Requests the load of an upstream. */
+    public void requestLoad(Vm upstream) {
         Request request = client.newRequest(upstream.host(), upstream.port()).path("/load");
         send(request, LOAD_TIMEOUT_MILLIS, (status, body) -> {
             if (status != OK) {
@@ -172,8 +174,8 @@
                 body.path("fencing_number").asLong());
     }
 
-    /** Gives an engine an order. */
-    public void order(Vm upstream, Effect.SendOrder order) {
+    /** Sends an order to an engine. */
+    public void sendOrder(Vm upstream, Effect.SendOrder order) {
         ObjectNode body = Json.object();
         body.put("order", order.load() ? "load" : "unload");
         body.put("model", order.model().value());
@@ -189,23 +191,26 @@
                 (status, ignored) -> events.accept(new Event.OrderEnded(upstream.id(), status == OK)));
     }
 
-    /** Sends and hands over the status and the JSON body; status 0 stands for no answer or one that is not JSON. */
-    private void send(Request request, int timeoutMillis, BiConsumer<Integer, JsonNode> then) {
-        traffic.execute(() -> sendNow(request, timeoutMillis, then));
+    /**
+     * Sends a request and passes the status and the JSON body to a handler; status 0 stands for a missing answer or one
+     * that is not JSON.
+     */
+    private void send(Request request, int timeoutMillis, BiConsumer<Integer, JsonNode> handler) {
+        traffic.execute(() -> sendNow(request, timeoutMillis, handler));
     }
 
-    private static void sendNow(Request request, int timeoutMillis, BiConsumer<Integer, JsonNode> then) {
-        request.timeout(timeoutMillis, TimeUnit.MILLISECONDS).send(new BufferingResponseListener(LONGEST_ANSWER) {
+    private static void sendNow(Request request, int timeoutMillis, BiConsumer<Integer, JsonNode> handler) {
+        request.timeout(timeoutMillis, TimeUnit.MILLISECONDS).send(new BufferingResponseListener(MAX_ANSWER_BYTES) {
             @Override
             public void onComplete(Result result) {
                 if (result.isFailed()) {
-                    then.accept(0, Json.object());
+                    handler.accept(0, Json.object());
                     return;
                 }
                 byte[] content = getContent();
                 JsonNode body =
                         Json.read(content == null ? new byte[0] : content).getOrElse(Json.object());
-                then.accept(result.getResponse().getStatus(), body);
+                handler.accept(result.getResponse().getStatus(), body);
             }
         });
     }
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/platform/package-info.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/platform/package-info.java
@@ -1,2 +1,2 @@
-/** The platform's side: the log service, the list of VMs, load reports and orders. */
+/** The platform: the log service, the VM list, load reports and orders. */
 package org.wagtaillug.daemon.platform;
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/RoutedDaemon.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/RoutedDaemon.java
@@ -53,7 +53,7 @@
  * daemon.start();
  * }</pre>
  */
-public final class RoutedDaemon implements ProcessRun.Life {
+public final class RoutedDaemon implements ProcessRun.Lifecycle {
     private static final Logger LOGGER = System.getLogger(RoutedDaemon.class.getName());
 
     /** Callbacks do not block; on a single core additional threads only use memory. */
@@ -272,7 +272,7 @@
 
     /** Starts the shutdown grace period. */
     @Override
-    public void askedToEnd() {
+    public void onShutdownRequested() {
         shutdownRequestedAt.compareAndSet(null, clock.now());
     }
 
@@ -288,7 +288,7 @@
     @Override
     public void drain() throws InterruptedException {
         LOGGER.log(Level.INFO, "node {0} is shutting down", settings.node().name());
-        askedToEnd();
+        onShutdownRequested();
         Instant graceEnd = shutdownRequestedAt.get().plus(settings.shutdownGrace());
         connections.closeAfterAnswers();
         control.submit(new ServingEvent.DrainStarted(shutdownRequestedAt.get()));
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/translation/CallerTranslation.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/translation/CallerTranslation.java
@@ -5,17 +5,17 @@
 import org.wagtaillug.result.Refusal;
 import org.wagtaillug.serving.RoutedRequest;
 
-/** Reads what callers send, and writes refusals in words that callers understand. Never throws. */
+/** Decodes the requests of callers and encodes refusals in the format that callers expect. Never throws. */
 public interface CallerTranslation {
     /**
-     * Reads the head of a request.
+     * Decodes the header of a request.
      *
-     * @param host as the caller named it
-     * @param path with the query, as it was sent
-     * @return the request, or what is wrong with it
+     * @param host the host as named by the caller
+     * @param path the path with the query, as sent
+     * @return the request, or the refusal of an invalid one
      */
     Either<Refusal, RoutedRequest> read(String host, String path, HttpFields head);
 
-    /** Adds to the head of a refusal when to come back, and whatever else callers look for. */
+    /** Adds the retry delay, and other headers that callers evaluate, to a refusal. */
     void refuse(Refusal refusal, HttpFields head, HttpFields.Mutable out);
 }
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/translation/FeedSource.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/translation/FeedSource.java
@@ -7,16 +7,16 @@
 import org.wagtaillug.feed.FeedReader;
 import org.wagtaillug.serving.ServingEvent;
 
-/** Reads feeds from the platform's store, and writes the records of those that belong to the nodes. */
+/** Reads feeds from the store of the platform, and writes the records of feeds that the nodes own. */
 public interface FeedSource {
-    /** Makes one read without blocking; one event says what came of it. */
+    /** Starts one read without blocking; its outcome is reported by one event. */
     void read(FeedName feed, FeedReader.Read read, Consumer<ServingEvent> events);
 
     /**
-     * Makes one write without blocking; one event says what came of it.
+     * Starts one write without blocking; its outcome is reported by one event.
      *
-     * @param value empty to remove the key
-     * @param expectedEnd the write fails unless the feed ends here
+     * @param value the content; empty to remove the key
+     * @param expectedEnd the write fails unless the feed ends at this position
      */
     void write(
             FeedName feed, String key, Optional<byte[]> value, OptionalLong expectedEnd, Consumer<ServingEvent> events);
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/translation/StageTranslation.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/translation/StageTranslation.java
@@ -6,23 +6,25 @@
 import org.wagtaillug.batch.BatchCallEnd;
 import org.wagtaillug.directory.Listing;
 
-/** Writes calls to stage servers and reads what they answer. Never throws. */
+/** Encodes calls to stage servers and decodes their answers. Never throws. */
 public interface StageTranslation {
-    /** Where calls go. */
+    /** Path of the requests that carry calls. */
     String callPath();
 
-    /** The body of a call. */
+    /** Encodes the body of a call. */
     byte[] call(BatchCall call);
 
-    /** How a call ended, by its answer. */
+    /** Decodes the answer to a call. */
     BatchCallEnd answer(BatchCall call, int status, HttpFields head, byte[] body);
 
-    /** Where releases go. */
+    /** Path of the requests that carry releases. */
     String releasePath();
 
-    /** The body of a release. */
+    /** Encodes the body of a release. */
     byte[] release(List<String> handles);
 
-    /** Adds to a head which upstream is meant, so that another one at its address does not act on it. */
+    /**
+     * Adds the intended upstream to the headers, so that another one at the same address does not execute the request.
+     */
     void expect(Listing upstream, HttpFields.Mutable out);
 }
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/translation/Translation.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/translation/Translation.java
@@ -1,12 +1,12 @@
 package org.wagtaillug.daemon.translation;
 
 /**
- * All that a platform's translation provides.
+ * The translations for one platform.
  *
- * @param callers requests of callers
- * @param upstreams requests to upstreams
- * @param stages calls to stage servers
- * @param feeds reads of the store
+ * @param callers translates requests of callers
+ * @param upstreams translates requests to upstreams
+ * @param stages translates calls to stage servers
+ * @param feeds reads from the store
  */
 public record Translation(
         CallerTranslation callers, UpstreamTranslation upstreams, StageTranslation stages, FeedSource feeds) {}
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/translation/UpstreamTranslation.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/translation/UpstreamTranslation.java
@@ -5,24 +5,24 @@
 import org.eclipse.jetty.http.HttpFields;
 import org.wagtaillug.serving.SendOrder;
 
-/** Writes requests to upstreams and reads the heads of their answers. Never throws. */
+/** Encodes requests to upstreams and decodes the headers of their answers. Never throws. */
 public interface UpstreamTranslation {
     /**
-     * Writes the head of a request.
+     * Writes the headers of a request.
      *
-     * @param caller the caller's head
-     * @param order where it goes and with what
-     * @param left the time that is left of its deadline
-     * @param out gets the whole head, except what concerns one connection only
+     * @param caller the headers of the caller
+     * @param order the target and the content of the request
+     * @param left the time left until the deadline
+     * @param out receives all headers except hop-by-hop headers
      */
     void write(HttpFields caller, SendOrder order, Duration left, HttpFields.Mutable out);
 
-    /** Whether an answer says that the request was not run and will not be. */
+    /** Whether an answer states that the request was not executed and will not be. */
     boolean notRun(int status, HttpFields head);
 
-    /** The request that an answer says it is for; empty if it does not say. */
+    /** Id of the request that an answer names as its own; empty if it names none. */
     Optional<String> answeredRequest(HttpFields head);
 
-    /** Whether a good answer bears the sign that it is the upstream's own. */
+    /** Whether a successful answer carries the mark of the upstream that proves its origin. */
     boolean authentic(HttpFields head);
 }
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/translation/package-info.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/translation/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What a platform's translation provides: callers' requests, calls to upstreams and stage servers, and feeds, in the words
- * of that platform. A translation decides nothing and keeps nothing beyond its connections.
+ * The translation between a platform's protocols and the node: caller requests, calls to upstreams and stage servers,
+ * and feeds. A translation makes no decisions and keeps no state beyond its connections.
  */
 package org.wagtaillug.daemon.translation;
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/upstream/AnswerReader.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/upstream/AnswerReader.java
@@ -6,12 +6,12 @@
 /** Reads the body of a successful answer. Used by one thread at a time. */
 sealed interface AnswerReader permits TokenReader, ValueReader {
     /**
-     * Takes the next bytes.
+     * Reads the next bytes.
      *
-     * @return false if the answer is useless and the connection should be closed
+     * @return false if the answer is invalid and the connection should be closed
      */
     boolean read(ByteBuffer bytes);
 
-    /** What the body amounts to, once the upstream has ended it. */
+    /** The result of the attempt, after the upstream has ended the body. */
     AttemptEnd end();
 }
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/upstream/AttemptListener.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/upstream/AttemptListener.java
@@ -13,7 +13,7 @@
 import org.wagtaillug.id.AttemptId;
 import org.wagtaillug.node.Event;
 
-/** Follows one attempt's exchange and reports its progress and its end. */
+/** Listens to the exchange of one attempt and reports its progress and its end. */
 final class AttemptListener {
     private static final int OK = 200;
     private static final int FIRST_CLIENT_ERROR = 400;
@@ -25,10 +25,10 @@
     private final AnswerReader reader;
     private final MonotonicClock clock;
     private final Consumer<Event> events;
-    private final Consumer<AttemptId> ended;
+    private final Consumer<AttemptId> onEnd;
     private volatile boolean byteLeft;
-    private volatile boolean tooLate;
-    private volatile boolean answered;
+    private volatile boolean expired;
+    private volatile boolean responded;
     private Instant lastProgress = Instant.EPOCH;
 
     AttemptListener(
@@ -36,42 +36,42 @@
             AnswerReader reader,
             MonotonicClock clock,
             Consumer<Event> events,
-            Consumer<AttemptId> ended) {
+            Consumer<AttemptId> onEnd) {
         this.attempt = attempt;
         this.reader = reader;
         this.clock = clock;
         this.events = events;
-        this.ended = ended;
+        this.onEnd = onEnd;
     }
 
     /**
-     * The last moment before bytes leave. Guards against a process that was paused between the decision and the
-     * sending: its allowance may have gone to another node meanwhile, and the upstream would get more than it bears.
+     * Called immediately before bytes are sent. Guards against a process that was paused between the decision and the
+     * sending: its allowance may have been given to another node in the meantime, and the upstream would be overloaded.
      */
     void onBegin(Request request) {
         if (!clock.now().isBefore(attempt.startBefore())) {
-            tooLate = true;
-            request.abort(new IllegalStateException("the right to start has run out"));
+            expired = true;
+            request.abort(new IllegalStateException("the allowance to start the attempt has expired"));
             return;
         }
         byteLeft = true;
     }
 
     void onResponse(Response response) {
-        answered = true;
+        responded = true;
         progress();
     }
 
     void onContent(Response response, ByteBuffer bytes) {
         progress();
         if (response.getStatus() == OK && !reader.read(bytes)) {
-            response.abort(new IllegalStateException("the answer is useless"));
+            response.abort(new IllegalStateException("the answer is invalid"));
         }
     }
 
-    /** Whether a part of an answer has come. */
-    boolean answered() {
-        return answered;
+    /** Whether a part of an answer was received. */
+    boolean responded() {
+        return responded;
     }
 
     private void progress() {
@@ -84,12 +84,12 @@
     }
 
     void onComplete(Result result) {
-        ended.accept(attempt.id());
+        onEnd.accept(attempt.id());
         events.accept(new Event.AttemptEnded(attempt.id(), end(result)));
     }
 
     private AttemptEnd end(Result result) {
-        if (tooLate) {
+        if (expired) {
             return new AttemptEnd.NotStarted();
         }
         if (result.isFailed()) {
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/upstream/AttemptSender.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/upstream/AttemptSender.java
@@ -23,39 +23,39 @@
 import org.wagtaillug.node.Event;
 
 /**
- * Sends attempts to upstreams and reports how each ended, once.
+ * Sends attempts to upstreams and reports the end of each one once.
  *
- * <p>What must happen once goes over a connection that is used for it alone: on a kept connection that the upstream
- * closes at the same moment nobody could tell whether the call had begun, and each such race would end as "unknown".
- * The client sends a request on a connection once; it never repeats one of which a byte was written.
+ * <p>A call that must be executed at most once is sent on a connection of its own. On a reused connection that the
+ * upstream closes at the same moment, it would be unknown whether execution has started, and each such race would end
+ * as "unknown". The client sends a request on a connection once and never repeats one of which a byte was written.
  *
- * <p>Once an attempt was given up without a sign of an answer, the connections that are open to its upstream are not used
- * for new attempts: what made one of them silent has probably made the others silent as well, and each would cost another
- * request its attempt.
+ * <p>When an attempt is cancelled before any part of its answer was received, the open connections to its upstream are
+ * not used for new attempts: the cause of the silence probably affects the other connections too, and each would cost
+ * another request an attempt.
  */
 public final class AttemptSender {
-    private final HttpClient kept;
-    private final HttpClient fresh;
+    private final HttpClient pooledClient;
+    private final HttpClient singleUseClient;
     private final Exchanges exchanges;
     private final Consumer<Event> events;
     private final MonotonicClock clock;
     private final Executor traffic;
-    private final Map<AttemptId, Sending> live = new ConcurrentHashMap<>();
+    private final Map<AttemptId, ActiveSend> activeSends = new ConcurrentHashMap<>();
 
     private record Sent(HttpClient client, Request request, AttemptListener listener) {}
 
-    /** An attempt on its way out, which may be given up before its request exists. */
-    private static final class Sending {
+    /** An attempt that may be cancelled before its request is created. */
+    private static final class ActiveSend {
         private Optional<Sent> sent = Optional.empty();
         private boolean cancelled;
 
-        /** Gives the attempt its request; false if it was given up before. */
-        private synchronized boolean begin(Sent made) {
-            sent = Optional.of(made);
+        /** Sets the request of the attempt; returns false if the attempt was cancelled before. */
+        private synchronized boolean attach(Sent created) {
+            sent = Optional.of(created);
             return !cancelled;
         }
 
-        /** Gives the attempt up; what was sent for it, if anything was. */
+        /** Cancels the attempt; returns its request, if there is one. */
         private synchronized Optional<Sent> cancel() {
             cancelled = true;
             return sent;
@@ -63,50 +63,50 @@
     }
 
     /**
-     * Sends over the given clients.
+     * Creates a sender with the given clients.
      *
-     * @param kept keeps connections for idempotent work
-     * @param fresh opens a connection for each call that may not use an open one
-     * @param exchanges where a generating stage's tokens go
-     * @param events takes progress and ends
-     * @param clock tells whether an attempt's right to start has run out
-     * @param traffic makes and sends the requests, so that the control thread does not
+     * @param pooledClient reuses connections, for idempotent work
+     * @param singleUseClient opens a connection for each call that must not use an open one
+     * @param exchanges receive the tokens of generating stages
+     * @param events receives progress and ends
+     * @param clock tells whether the allowance to start an attempt has expired
+     * @param traffic creates and sends the requests, so that the control thread does not
      */
     public AttemptSender(
-            HttpClient kept,
-            HttpClient fresh,
+            HttpClient pooledClient,
+            HttpClient singleUseClient,
             Exchanges exchanges,
             Consumer<Event> events,
             MonotonicClock clock,
             Executor traffic) {
-        this.kept = kept;
-        this.fresh = fresh;
+        this.pooledClient = pooledClient;
+        this.singleUseClient = singleUseClient;
         this.exchanges = exchanges;
         this.events = events;
         this.clock = clock;
         this.traffic = traffic;
     }
 
-    /** Sends an attempt, soon. */
+    /** Sends an attempt asynchronously. */
     public void start(Attempt attempt) {
-        Sending sending = new Sending();
-        live.put(attempt.id(), sending);
-        traffic.execute(() -> send(attempt, sending));
+        ActiveSend active = new ActiveSend();
+        activeSends.put(attempt.id(), active);
+        traffic.execute(() -> send(attempt, active));
     }
 
-    private void send(Attempt attempt, Sending sending) {
+    private void send(Attempt attempt, ActiveSend active) {
         Optional<CallerExchange> caller = exchanges.find(attempt.id().request());
         if (caller.isEmpty()) {
-            forget(attempt.id());
+            remove(attempt.id());
             events.accept(new Event.AttemptEnded(attempt.id(), new AttemptEnd.NotStarted()));
             return;
         }
-        HttpClient client = attempt.onNewConnection() ? fresh : kept;
+        HttpClient client = attempt.onNewConnection() ? singleUseClient : pooledClient;
         Request request = request(client, attempt, caller.get());
         AttemptListener listener =
-                new AttemptListener(attempt, reader(attempt, caller.get()), clock, events, this::forget);
-        if (!sending.begin(new Sent(client, request, listener))) {
-            forget(attempt.id());
+                new AttemptListener(attempt, reader(attempt, caller.get()), clock, events, this::remove);
+        if (!active.attach(new Sent(client, request, listener))) {
+            remove(attempt.id());
             events.accept(new Event.AttemptEnded(attempt.id(), new AttemptEnd.NotStarted()));
             return;
         }
@@ -116,27 +116,27 @@
                 .send(listener::onComplete);
     }
 
-    /** Gives up an attempt: its connection is closed. */
+    /** Cancels an attempt and closes its connection. */
     public void cancel(AttemptId attempt) {
-        Sending sending = live.get(attempt);
-        Optional<Sent> begun = sending == null ? Optional.empty() : sending.cancel();
-        if (begun.isEmpty()) {
+        ActiveSend active = activeSends.get(attempt);
+        Optional<Sent> toAbort = active == null ? Optional.empty() : active.cancel();
+        if (toAbort.isEmpty()) {
             return;
         }
-        Sent sent = begun.get();
-        if (!sent.listener().answered()) {
-            leaveConnections(sent);
+        Sent sent = toAbort.get();
+        if (!sent.listener().responded()) {
+            discardConnections(sent);
         }
-        sent.request().abort(new CancellationException("given up"));
+        sent.request().abort(new CancellationException("attempt cancelled"));
     }
 
-    /** Requests that run on the connections go on; those that are idle close at their idle timeout. */
-    private static void leaveConnections(Sent sent) {
+    /** Requests on the connections continue; idle connections close at their idle timeout. */
+    private static void discardConnections(Sent sent) {
         sent.client().removeDestination(sent.client().resolveDestination(sent.request()));
     }
 
-    private void forget(AttemptId attempt) {
-        live.remove(attempt);
+    private void remove(AttemptId attempt) {
+        activeSends.remove(attempt);
     }
 
     private static AnswerReader reader(Attempt attempt, CallerExchange caller) {
@@ -176,7 +176,7 @@
         body.put("request", attempt.id().request().value());
         body.put("attempt", attempt.id().toString());
         if (attempt.stage().work() == StageWork.GENERATE) {
-            generate(body, attempt, caller);
+            putGenerateFields(body, attempt, caller);
             return Json.write(body);
         }
         attempt.key().ifPresent(key -> body.put("idempotency_key", key.identity()));
@@ -184,10 +184,10 @@
         return Json.write(body);
     }
 
-    private static void generate(ObjectNode body, Attempt attempt, CallerExchange caller) {
+    private static void putGenerateFields(ObjectNode body, Attempt attempt, CallerExchange caller) {
         attempt.stage().model().ifPresent(model -> body.put("model", model.value()));
         body.put("prompt", caller.inputText() + "\n" + attempt.input().text());
-        body.put("max_tokens", caller.tokens());
+        body.put("max_tokens", caller.maxTokens());
         body.put("stream", true);
         body.put("resume_from", caller.nextToken(attempt.stage().id()));
         body.put("seed", caller.request().id().value().hashCode());
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/upstream/TokenReader.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/upstream/TokenReader.java
@@ -10,9 +10,9 @@
 import org.wagtaillug.dispatch.Attempt;
 import org.wagtaillug.dispatch.AttemptEnd;
 
-/** Reads an engine's event stream and hands each token, if it is this attempt's, to the caller's joiner. */
+/** Reads the event stream of an engine and passes each token of this attempt to the caller's joiner. */
 final class TokenReader implements AnswerReader {
-    private static final int LONGEST_LINE = 64 * 1024;
+    private static final int MAX_LINE_BYTES = 64 * 1024;
     private static final String DATA = "data:";
     private static final String DONE = "[DONE]";
 
@@ -38,8 +38,8 @@
             line(line.toString(StandardCharsets.UTF_8).strip());
             line.reset();
         }
-        if (line.size() > LONGEST_LINE) {
-            fault = "a line of the stream is longer than " + LONGEST_LINE + " bytes";
+        if (line.size() > MAX_LINE_BYTES) {
+            fault = "a line of the stream exceeds " + MAX_LINE_BYTES + " bytes";
         }
         return fault.isEmpty();
     }
@@ -61,17 +61,17 @@
     }
 
     private void event(JsonNode event) {
-        boolean own =
+        boolean matches =
                 event.path("request").asText().equals(attempt.id().request().value())
                         && event.path("id").asText().equals(attempt.id().toString());
-        if (!own) {
-            fault = "a token of attempt " + event.path("id").asText();
+        if (!matches) {
+            fault = "received a token of attempt " + event.path("id").asText();
             return;
         }
         int offset = event.path("token_offset").asInt(-1);
         JsonNode choice = event.path("choices").path(0);
         if (offset < 0
-                || !caller.token(attempt.id(), offset, choice.path("text").asText(""))) {
+                || !caller.acceptToken(attempt.id(), offset, choice.path("text").asText(""))) {
             fault = "a token at offset " + offset + " cannot be joined";
             return;
         }
@@ -85,10 +85,10 @@
         if (!fault.isEmpty()) {
             return new AttemptEnd.Failed(true, fault);
         }
-        if (tokens < 0 || !caller.whole(attempt.stage().id(), tokens)) {
+        if (tokens < 0 || !caller.complete(attempt.stage().id(), tokens)) {
             return new AttemptEnd.Failed(
                     true,
-                    "the stream broke off at token "
+                    "the stream ended early at token "
                             + caller.nextToken(attempt.stage().id()));
         }
         return new AttemptEnd.Completed(caller.output(attempt.stage().id()));
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/upstream/ValueReader.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/upstream/ValueReader.java
@@ -9,9 +9,9 @@
 import org.wagtaillug.dispatch.AttemptEnd;
 import org.wagtaillug.result.Payload;
 
-/** Reads one JSON value that must carry the ids of the attempt that it answers. */
+/** Reads one JSON value that must contain the ids of its request and attempt. */
 final class ValueReader implements AnswerReader {
-    private static final int LONGEST = 4 * 1024 * 1024;
+    private static final int MAX_BYTES = 4 * 1024 * 1024;
 
     private final Attempt attempt;
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
@@ -21,26 +21,27 @@
     }
 
     @Override
-    public boolean read(ByteBuffer more) {
-        byte[] chunk = new byte[more.remaining()];
-        more.get(chunk);
+    public boolean read(ByteBuffer next) {
+        byte[] chunk = new byte[next.remaining()];
+        next.get(chunk);
         bytes.writeBytes(chunk);
-        return bytes.size() <= LONGEST;
+        return bytes.size() <= MAX_BYTES;
     }
 
     @Override
     public AttemptEnd end() {
         Try<JsonNode> value = Json.read(bytes.toByteArray());
         if (value.isFailure() || !value.get().has("output")) {
-            return new AttemptEnd.Failed(true, "the answer is cut or has no output");
+            return new AttemptEnd.Failed(true, "the answer is truncated or has no output");
         }
         JsonNode answer = value.get();
-        boolean own =
+        boolean matches =
                 answer.path("request").asText().equals(attempt.id().request().value())
                         && answer.path("attempt").asText().equals(attempt.id().toString());
-        if (!own) {
+        if (!matches) {
             return new AttemptEnd.Failed(
-                    true, "the answer of attempt " + answer.path("attempt").asText());
+                    true,
+                    "received the answer of attempt " + answer.path("attempt").asText());
         }
         return new AttemptEnd.Completed(Payload.wrap(Json.write(answer.get("output"))));
     }
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/upstream/package-info.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/upstream/package-info.java
@@ -1,2 +1,2 @@
-/** The upstreams' side: attempts out, their ends in. */
+/** Upstreams: sends attempts and reports how they ended. */
 package org.wagtaillug.daemon.upstream;
--- a/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/administration/PendingChangesTest.java
+++ b/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/administration/PendingChangesTest.java
@@ -12,9 +12,9 @@
     private final PendingChanges pending = new PendingChanges();
 
     @Test
-    void aRepeatWaitsForTheOutcomeOfTheFirst() {
-        PendingChanges.Known first = pending.await("id", "change");
-        PendingChanges.Known repeat = pending.await("id", "change");
+    void aRepeatedChangeWaitsForTheOutcomeOfTheFirst() {
+        PendingChanges.Registration first = pending.register("id", "change");
+        PendingChanges.Registration repeat = pending.register("id", "change");
         assertThat(first.first()).isTrue();
         assertThat(repeat.first()).isFalse();
         pending.accepted("id", 7);
@@ -23,40 +23,40 @@
     }
 
     @Test
-    void aRepeatIsGivenTheRefusalOfTheFirst() {
+    void aRepeatedChangeGetsTheRefusalOfTheFirst() {
         Refusal refusal = Refusal.notRun(ResultCode.CHANGE_CROSSED, Duration.ZERO, "crossed");
-        pending.await("id", "change");
+        pending.register("id", "change");
         pending.refused("id", refusal);
-        PendingChanges.Known repeat = pending.await("id", "change");
+        PendingChanges.Registration repeat = pending.register("id", "change");
         assertThat(repeat.first()).isFalse();
         assertThat(repeat.outcome()).isCompletedWithValue(Either.left(refusal));
     }
 
     @Test
-    void anotherChangeUnderAUsedIdIsTold() {
-        pending.await("id", "change");
-        assertThat(pending.await("id", "other").same()).isFalse();
+    void anotherChangeWithAUsedIdIsDetected() {
+        pending.register("id", "change");
+        assertThat(pending.register("id", "other").same()).isFalse();
         pending.accepted("id", 7);
-        assertThat(pending.await("id", "other").same()).isFalse();
-        assertThat(pending.await("id", "change").same()).isTrue();
+        assertThat(pending.register("id", "other").same()).isFalse();
+        assertThat(pending.register("id", "change").same()).isTrue();
     }
 
     @Test
-    void theLastOutcomesAreRememberedAndThoseThatAreWaitedForAlways() {
-        pending.await("waiting", "change");
-        for (int number = 0; number <= PendingChanges.REMEMBERED; number++) {
-            pending.await("id-" + number, "change");
+    void keepsTheLastOutcomesAndAllPendingChanges() {
+        pending.register("waiting", "change");
+        for (int number = 0; number <= PendingChanges.MAX_OUTCOMES; number++) {
+            pending.register("id-" + number, "change");
             pending.accepted("id-" + number, number);
         }
-        assertThat(pending.await("id-1", "change").first()).isFalse();
-        assertThat(pending.await("waiting", "change").first()).isFalse();
-        assertThat(pending.await("id-0", "change").first()).isTrue();
+        assertThat(pending.register("id-1", "change").first()).isFalse();
+        assertThat(pending.register("waiting", "change").first()).isFalse();
+        assertThat(pending.register("id-0", "change").first()).isTrue();
     }
 
     @Test
-    void oneThatGivesUpWaitingLeavesTheOthersWaiting() {
-        PendingChanges.Known first = pending.await("id", "change");
-        PendingChanges.Known repeat = pending.await("id", "change");
+    void cancellingOneWaiterDoesNotAffectTheOthers() {
+        PendingChanges.Registration first = pending.register("id", "change");
+        PendingChanges.Registration repeat = pending.register("id", "change");
         first.outcome().cancel(false);
         pending.accepted("id", 7);
         assertThat(repeat.outcome()).isCompletedWithValue(Either.right(7L));
--- a/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/callers/CallersHandlerTest.java
+++ b/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/callers/CallersHandlerTest.java
@@ -36,7 +36,7 @@
 
 class CallersHandlerTest {
     private static final String KEY = "0193f1b2-7c00-7abc-8def-0123456789ab";
-    private static final int LONGEST_BODY = 1000;
+    private static final int MAX_BODY_BYTES = 1000;
     private static final int LARGER_THAN_BUFFERS = 16_000_000;
 
     private final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
@@ -56,7 +56,7 @@
                 events::add,
                 new MonotonicClock(),
                 () -> true,
-                new CallersHandler.Limits(LONGEST_BODY, Duration.ofMillis(300)));
+                new CallersHandler.Limits(MAX_BODY_BYTES, Duration.ofMillis(300)));
         server.setHandler(handler);
         server.start();
         port = connector.getLocalPort();
@@ -82,7 +82,7 @@
                 "{\"input\": 1, \"stream\": 1}|stream is 1; expected true or false",
                 "{\"input\": 1, \"prefix\": 1}|prefix is 1; expected a text",
             })
-    void aBodyOfTheWrongFormIsRefusedWithAMessageThatNamesThePlace(String body, String message) throws Exception {
+    void anInvalidBodyIsRefusedWithAMessageThatNamesTheFault(String body, String message) throws Exception {
         JsonNode answer = send(request(body).header("Wagtaillug-Customer", "c")).body();
         assertThat(answer.path("result_code").asInt()).isEqualTo(ResultCode.MALFORMED.number());
         assertThat(answer.path("run").asText()).isEqualTo("not-run");
@@ -96,8 +96,7 @@
         "Idempotency-Key, 123e4567-e89b-42d3-a456-426614174000, expected a UUID of version 7",
         "Wagtaillug-Deadline-Millis, soon, expected milliseconds as a whole number",
     })
-    void aHeaderOfTheWrongFormIsRefusedWithAMessageThatNamesIt(String name, String value, String message)
-            throws Exception {
+    void anInvalidHeaderIsRefusedWithAMessageThatNamesIt(String name, String value, String message) throws Exception {
         JsonNode answer = send(request("{\"input\": 1}")
                         .header("Wagtaillug-Customer", "c")
                         .header(name, value))
@@ -107,16 +106,16 @@
     }
 
     @Test
-    void anAnswerThatTakesLongerThanTheIdleTimeoutStillComes() throws Exception {
-        // A booking takes long at its service. After half a minute without a byte the server closed the connection: its
-        // caller did not learn that the table was booked.
+    void anAnswerThatTakesLongerThanTheIdleTimeoutIsSent() throws Exception {
+        // Guards against an idle timeout of the server that closes the connection of a request whose service takes
+        // long: the caller would not learn that the table was booked. The production timeout is half a minute.
         ((ServerConnector) server.getConnectors()[0]).setIdleTimeout(50);
         CompletableFuture<HttpResponse<String>> answer = client.sendAsync(
                 request("{\"input\": 1}").header("Wagtaillug-Customer", "c").build(),
                 HttpResponse.BodyHandlers.ofString());
         Event.RequestArrived arrived = (Event.RequestArrived) events.poll(10, TimeUnit.SECONDS);
         CompletableFuture.delayedExecutor(500, TimeUnit.MILLISECONDS).execute(() -> exchanges
-                .take(arrived.request().id())
+                .remove(arrived.request().id())
                 .ifPresent(exchange -> exchange.served(1, Payload.of("1"))));
         assertThat(answer.get(10, TimeUnit.SECONDS).statusCode()).isEqualTo(200);
         assertThat(events).isEmpty();
@@ -124,16 +123,16 @@
 
     @Test
     void aBodyThatIsTooLongIsRefusedBeforeItIsRead() throws Exception {
-        String body = "{\"input\": \"" + "x".repeat(LONGEST_BODY) + "\"}";
+        String body = "{\"input\": \"" + "x".repeat(MAX_BODY_BYTES) + "\"}";
         Answer answer = send(request(body).header("Wagtaillug-Customer", "c"));
         assertThat(answer.status()).isEqualTo(413);
         assertThat(answer.body().path("message").asText()).contains("expected at most 1000 bytes");
     }
 
     @Test
-    void aSenderThatStopsInTheMiddleOfTheBodyIsToldSoAndNothingIsKept() throws Exception {
-        // A caller sends the head and half of the body, then nothing: its connection stays open for good. Without a
-        // limit each such caller would hold a place on the node for ever.
+    void aRequestWhoseBodyStallsIsRefusedAndNotKept() throws Exception {
+        // A caller sends the header and half of the body, and then nothing, on a connection that stays open. Without a
+        // time limit each such caller would occupy memory on the node indefinitely.
         try (Socket socket = new Socket("127.0.0.1", port)) {
             OutputStream out = socket.getOutputStream();
             out.write(("POST /v1/templates/t/requests HTTP/1.1\r\nHost: x\r\nWagtaillug-Customer: c\r\n"
@@ -145,16 +144,16 @@
             while (answer.indexOf("}") < 0) {
                 answer.append((char) socket.getInputStream().read());
             }
-            assertThat(answer.toString()).startsWith("HTTP/1.1 408").contains("did not come whole within 300 ms");
+            assertThat(answer.toString()).startsWith("HTTP/1.1 408").contains("was not complete within 300 ms");
         }
         assertThat(exchanges.size()).isZero();
         assertThat(events).isEmpty();
     }
 
     @Test
-    void twoRequestsOfOneIdInFlightAreNotMixedUp() throws Exception {
-        // A caller retries under the same request id while its first try still runs. Without a check the answer of one
-        // would go to the other's connection.
+    void twoRequestsInFlightWithOneIdAreNotMixedUp() throws Exception {
+        // A caller retries with the same request id while its first request is in flight. Guards against sending the
+        // answer of one to the connection of the other.
         CompletableFuture<HttpResponse<String>> first = client.sendAsync(
                 request("{\"input\": 1}")
                         .header("Wagtaillug-Customer", "c")
@@ -165,14 +164,14 @@
         Answer second = send(
                 request("{\"input\": 2}").header("Wagtaillug-Customer", "c").header("Wagtaillug-Request", "twin"));
         assertThat(second.body().path("result_code").asInt()).isEqualTo(ResultCode.REQUEST_IN_FLIGHT.number());
-        exchanges.take(new RequestId("twin")).orElseThrow().served(3, Payload.of("\"one\""));
+        exchanges.remove(new RequestId("twin")).orElseThrow().served(3, Payload.of("\"one\""));
         JsonNode answer = Json.read(first.get().body()).get();
         assertThat(answer.path("output").asText()).isEqualTo("one");
         assertThat(answer.path("template_version").asLong()).isEqualTo(3);
     }
 
     @Test
-    void theKeysOwnTimeSaysWhenItWasIssued() throws Exception {
+    void theTimeInTheKeyIsItsIssueTime() throws Exception {
         client.sendAsync(
                 request("{\"input\": 1}")
                         .header("Wagtaillug-Customer", "c")
@@ -185,7 +184,7 @@
     }
 
     @Test
-    void aStreamEndsWithItsResultCodeAlsoWhenItIsRefusedInTheMiddle() throws Exception {
+    void aStreamThatIsRefusedAfterItsStartEndsWithTheResultCode() throws Exception {
         CompletableFuture<HttpResponse<String>> answer = client.sendAsync(
                 request("{\"input\": 1, \"stream\": true}")
                         .header("Wagtaillug-Customer", "c")
@@ -193,11 +192,11 @@
                         .build(),
                 HttpResponse.BodyHandlers.ofString());
         events.poll(10, TimeUnit.SECONDS);
-        CallerExchange exchange = exchanges.take(new RequestId("s")).orElseThrow();
+        CallerExchange exchange = exchanges.remove(new RequestId("s")).orElseThrow();
         AttemptId attempt = new AttemptId(new RequestId("s"), new StageId("generate"), 1);
         assertThat(exchange.nextToken(new StageId("generate"))).isZero();
-        exchange.token(attempt, 0, "Five ");
-        exchange.token(attempt, 1, "lunches");
+        exchange.acceptToken(attempt, 0, "Five ");
+        exchange.acceptToken(attempt, 1, "lunches");
         exchange.refused(
                 4, Refusal.unknown(ResultCode.DEADLINE_EXCEEDED, Duration.ofSeconds(1), "the deadline passed"));
         String text = answer.get().body();
@@ -206,7 +205,7 @@
     }
 
     @Test
-    void aRefusalTellsWhenToComeBack() throws Exception {
+    void aRefusalStatesWhenToRetry() throws Exception {
         CompletableFuture<HttpResponse<String>> answer = client.sendAsync(
                 request("{\"input\": 1}")
                         .header("Wagtaillug-Customer", "c")
@@ -215,7 +214,7 @@
                 HttpResponse.BodyHandlers.ofString());
         events.poll(10, TimeUnit.SECONDS);
         exchanges
-                .take(new RequestId("r"))
+                .remove(new RequestId("r"))
                 .orElseThrow()
                 .refused(0, Refusal.notRun(ResultCode.OVERLOADED, Duration.ofMillis(1200), "full"));
         assertThat(answer.get().statusCode()).isEqualTo(503);
@@ -228,9 +227,9 @@
     }
 
     @Test
-    void anAnswerCountsAsGivenWhenItIsWrittenWhole() throws Exception {
-        // A node ends while a caller still reads a large answer. Counted as given when the writing begins, the answer
-        // would be cut when the ports close.
+    void anAnswerCountsAsSentWhenItIsCompletelyWritten() throws Exception {
+        // A node shuts down while a caller reads a large answer. Guards against counting the answer as sent when
+        // writing starts: it would be truncated when the ports close.
         try (Socket caller = new Socket()) {
             caller.setReceiveBufferSize(4096);
             caller.connect(new InetSocketAddress("127.0.0.1", port));
@@ -240,20 +239,20 @@
                                     + "Connection: close\r\nContent-Length: 12\r\n\r\n{\"input\": 1}")
                             .getBytes(StandardCharsets.US_ASCII));
             Event.RequestArrived arrived = (Event.RequestArrived) events.poll(10, TimeUnit.SECONDS);
-            assertThat(handler.awaitAnswered(Duration.ZERO)).isFalse();
+            assertThat(handler.awaitAnswers(Duration.ZERO)).isFalse();
             Payload large = Payload.of("\"" + "x".repeat(LARGER_THAN_BUFFERS) + "\"");
-            exchanges.take(arrived.request().id()).orElseThrow().served(1, large);
+            exchanges.remove(arrived.request().id()).orElseThrow().served(1, large);
             caller.getInputStream().read();
-            assertThat(handler.awaitAnswered(Duration.ofMillis(50))).isFalse();
+            assertThat(handler.awaitAnswers(Duration.ofMillis(50))).isFalse();
             assertThat(caller.getInputStream().readAllBytes()).hasSizeGreaterThan(LARGER_THAN_BUFFERS);
-            assertThat(handler.awaitAnswered(Duration.ofSeconds(10))).isTrue();
+            assertThat(handler.awaitAnswers(Duration.ofSeconds(10))).isTrue();
         }
     }
 
     @Test
-    void aCallerThatStillSendsWhenTheNodeHasFinishedIsToldThatNothingRan() throws Exception {
-        // A caller is in the middle of its body when the node has finished: the ports close, and the caller cannot tell
-        // whether its request ran.
+    void aCallerThatIsStillSendingAfterTheDrainIsRefusedAsNotRun() throws Exception {
+        // A caller is sending its body when the node has finished draining. Guards against closing the port without an
+        // answer, after which the caller could not tell whether its request was executed.
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.setSoTimeout(20_000);
             socket.getOutputStream()
@@ -261,11 +260,11 @@
                                     + "Content-Length: 100\r\nExpect: 100-continue\r\n\r\n")
                             .getBytes(StandardCharsets.US_ASCII));
             assertThat(line(socket)).contains("100");
-            handler.end();
+            handler.refuseAll();
             assertThat(line(socket)).isEmpty();
             assertThat(line(socket)).startsWith("HTTP/1.1 503");
         }
-        assertThat(handler.awaitAnswered(Duration.ofSeconds(10))).isTrue();
+        assertThat(handler.awaitAnswers(Duration.ofSeconds(10))).isTrue();
         assertThat(events).isEmpty();
     }
 
@@ -280,10 +279,10 @@
     }
 
     @Test
-    void aRequestThatComesWhenTheNodeHasFinishedIsRefusedAsNotRun() throws Exception {
-        // Between the last decision and the closing of the ports a kept connection brings one more request. Read and
-        // handed on, it would be lost.
-        handler.end();
+    void aRequestAfterTheDrainIsRefusedAsNotRun() throws Exception {
+        // Guards against losing a request that arrives on an open connection between the last decision and the closing
+        // of the ports.
+        handler.refuseAll();
         Answer answer = send(request("{\"input\": 1}").header("Wagtaillug-Customer", "c"));
         assertThat(answer.status()).isEqualTo(503);
         assertThat(answer.body().path("result_code").asInt()).isEqualTo(ResultCode.SHUTTING_DOWN.number());
@@ -292,27 +291,27 @@
     }
 
     @Test
-    void anAnswerOfANodeThatEndsEndsItsConnection() throws Exception {
-        // A caller keeps its connection, as nothing tells it of the end, and sends its next request on it at the
-        // moment when the ports close.
+    void anAnswerOfADrainingNodeClosesItsConnection() throws Exception {
+        // Guards against a caller that keeps its connection, because nothing announces the shutdown, and sends its next
+        // request at the moment when the ports close.
         handler.drain();
         HttpResponse<String> answer = client.send(request("1").build(), HttpResponse.BodyHandlers.ofString());
         assertThat(answer.headers().firstValue("Connection")).contains("close");
     }
 
     /**
-     * A request is under way when its node is asked to end. Its answer comes after that and says nothing of a close, so its
-     * caller keeps the connection and sends the next request on it, to a node that refuses it or closes its ports. Cause:
-     * whether an answer closes is decided when its request comes.
+     * A request is in flight when its node starts to drain. Guards against an answer without a "Connection: close"
+     * header, after which the caller would send its next request to a node that refuses it or closes its ports. The
+     * failure came from choosing the header when the request arrives.
      */
     @Test
-    void anAnswerAfterTheWordToEndEndsTheConnectionOfARequestFromBefore() throws Exception {
+    void anAnswerDuringTheDrainClosesTheConnectionOfAnEarlierRequest() throws Exception {
         CompletableFuture<HttpResponse<String>> answer = client.sendAsync(
                 request("{\"input\": 1}").header("Wagtaillug-Customer", "c").build(),
                 HttpResponse.BodyHandlers.ofString());
         Event.RequestArrived arrived = (Event.RequestArrived) events.poll(10, TimeUnit.SECONDS);
         handler.drain();
-        exchanges.take(arrived.request().id()).orElseThrow().served(1, Payload.of("1"));
+        exchanges.remove(arrived.request().id()).orElseThrow().served(1, Payload.of("1"));
         assertThat(answer.get(10, TimeUnit.SECONDS).headers().firstValue("Connection"))
                 .contains("close");
     }
--- a/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/callers/OpenExchange.java
+++ b/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/callers/OpenExchange.java
@@ -6,11 +6,11 @@
 import org.wagtaillug.id.RequestId;
 import org.wagtaillug.id.TemplateId;
 
-/** Opens exchanges without a caller, for tests of other packages. */
+/** Opens exchanges without a caller, for tests in other packages. */
 public final class OpenExchange {
     private OpenExchange() {}
 
-    /** Adds an exchange that nobody answers. */
+    /** Adds an exchange that is never answered. */
     public static void add(Exchanges exchanges, RequestId id) {
         Request request =
                 Request.builder(id, new CustomerId("c"), new TemplateId("t")).build();
--- a/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/control/MonotonicClockTest.java
+++ b/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/control/MonotonicClockTest.java
@@ -20,30 +20,31 @@
     private final Clock wallClock = source.withZone(ZoneOffset.UTC);
     private final MonotonicClock clock = new MonotonicClock(wallClock, nanos::get);
 
-    private void pass(Duration onWall, Duration onMonotonic) {
+    private void advance(Duration onWall, Duration onMonotonic) {
         wall.set(wall.get().plus(onWall));
         nanos.addAndGet(onMonotonic.toNanos());
     }
 
     @Test
     void aWallClockThatIsSetBackDoesNotProlongALease() {
-        pass(Duration.ofHours(-1), Duration.ofSeconds(2));
+        advance(Duration.ofHours(-1), Duration.ofSeconds(2));
         assertThat(clock.now()).isEqualTo(START.plusSeconds(2));
     }
 
     @Test
-    void aVmThatWasSuspendedFindsItsLeasesOver() {
-        // The VM stands still for a minute and its monotonic clock with it; elsewhere its upstreams have a new owner. A
-        // clock that went on from where it stopped would let it grant for the rest of its lease.
-        pass(Duration.ofSeconds(61), Duration.ofSeconds(1));
+    void leasesExpireWhileTheVmIsSuspended() {
+        // The VM is suspended for a minute and its monotonic clock stops; meanwhile its upstreams get another owner.
+        // Guards against a clock that continues where it stopped, by which the VM would grant for the rest of its
+        // lease.
+        advance(Duration.ofSeconds(61), Duration.ofSeconds(1));
         assertThat(clock.now()).isEqualTo(START.plusSeconds(61));
-        pass(Duration.ofSeconds(1), Duration.ofSeconds(1));
+        advance(Duration.ofSeconds(1), Duration.ofSeconds(1));
         assertThat(clock.now()).isEqualTo(START.plusSeconds(62));
     }
 
     @Test
-    void aWallClockThatIsSlewedChangesNothing() {
-        pass(Duration.ofMillis(10_900), Duration.ofSeconds(10));
+    void aSlewedWallClockIsIgnored() {
+        advance(Duration.ofMillis(10_900), Duration.ofSeconds(10));
         assertThat(clock.now()).isEqualTo(START.plusSeconds(10));
     }
 }
--- a/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/process/Answer.java
+++ b/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/process/Answer.java
@@ -4,15 +4,15 @@
 import org.wagtaillug.daemon.Json;
 
 /**
- * What came back over HTTP.
+ * An HTTP response.
  *
- * @param status the HTTP status; 0 when the connection ended without a whole answer
- * @param retryAfter the header of that name; empty when absent
+ * @param status the HTTP status; 0 if the connection ended without a complete response
+ * @param retryAfter the Retry-After header; empty when absent
  * @param text the body
  */
 record Answer(int status, String retryAfter, String text) {
-    /** No answer, or a part of one. */
-    static final Answer CUT = new Answer(0, "", "");
+    /** No response, or an incomplete one. */
+    static final Answer INCOMPLETE = new Answer(0, "", "");
 
     JsonNode json() {
         return Json.read(text).getOrElse(Json.object());
@@ -26,7 +26,7 @@
         return json().path("result_code").asInt(-1);
     }
 
-    /** What the answer says of whether the request ran; empty when it says nothing. */
+    /** The run state that the answer reports; empty if it reports none. */
     String run() {
         return json().path("run").asText("");
     }
--- a/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/process/Fleet.java
+++ b/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/process/Fleet.java
@@ -14,11 +14,11 @@
 import org.wagtaillug.settings.Contracts;
 
 /**
- * The stand-ins and three nodes in three failure domains, with the templates {@code draft} (encode, rerank, generate) and
- * {@code booking} (one call that must happen once) in force everywhere.
+ * The stand-ins and three nodes in three failure domains, with the templates {@code draft} (encode, rerank, generate)
+ * and {@code booking} (one call that must be executed once) in force on all nodes.
  */
 final class Fleet implements AutoCloseable {
-    /** Long enough for a slow machine: no test here is about a deadline. */
+    /** Sufficient on a slow machine: no test here is about a deadline. */
     static final long DEADLINE_MILLIS = 60_000;
 
     private static final String CONTRACTS = """
@@ -55,14 +55,14 @@
             """;
 
     private final Path directory;
-    private final String moreSettings;
+    private final String additionalSettings;
     private final Http http;
     private final StandIns standIns;
     private final List<NodeProcess> nodes = new ArrayList<>();
 
-    private Fleet(Path directory, String moreSettings, Http http, StandIns standIns) {
+    private Fleet(Path directory, String additionalSettings, Http http, StandIns standIns) {
         this.directory = directory;
-        this.moreSettings = moreSettings;
+        this.additionalSettings = additionalSettings;
         this.http = http;
         this.standIns = standIns;
     }
@@ -71,10 +71,10 @@
         return start(directory, "");
     }
 
-    /** Starts nodes with lines of settings beside those that all nodes of these tests have. */
-    static Fleet start(Path directory, String moreSettings) throws Exception {
+    /** Starts nodes with additional settings. */
+    static Fleet start(Path directory, String additionalSettings) throws Exception {
         Http http = new Http();
-        Fleet fleet = new Fleet(directory, moreSettings, http, StandIns.start(directory, http));
+        Fleet fleet = new Fleet(directory, additionalSettings, http, StandIns.start(directory, http));
         try {
             fleet.startNodes();
             fleet.publish(CONTRACTS);
@@ -86,10 +86,11 @@
     }
 
     private void startNodes() throws IOException {
-        FreePorts free = new FreePorts();
+        FreePorts freePorts = new FreePorts();
         for (int index = 0; index < StandIns.DOMAINS.size(); index++) {
             String vm = "node-" + (index + 1);
-            NodeProcess.Ports ports = new NodeProcess.Ports(free.take(), free.take(), free.take());
+            NodeProcess.Ports ports =
+                    new NodeProcess.Ports(freePorts.allocate(), freePorts.allocate(), freePorts.allocate());
             nodes.add(
                     new NodeProcess(vm, ports, directory.resolve(vm + ".yaml"), directory.resolve(vm + ".log"), http));
         }
@@ -107,7 +108,7 @@
 
     private String settings(int index) {
         NodeProcess node = nodes.get(index);
-        StringBuilder text = new StringBuilder(moreSettings
+        StringBuilder text = new StringBuilder(additionalSettings
                 + """
                 node: { vm: %s, domain: %s, region: test }
                 callers: { address: 127.0.0.1, port: %d }
@@ -156,7 +157,7 @@
         awaitInForce(newest, nodes);
     }
 
-    /** Waits until each of the nodes says that a version is in force everywhere. */
+    /** Waits until each of the nodes reports that a version is in force on all nodes. */
     void awaitInForce(long version, List<NodeProcess> asked) {
         for (NodeProcess node : asked) {
             Waiting.until(
@@ -178,8 +179,8 @@
         return nodes.get(number - 1);
     }
 
-    /** Runs the operators' tool against the first node and gives what it printed; fails unless it ends with 0. */
-    String operate(String... arguments) throws Exception {
+    /** Runs the command-line tool against the first node and returns its output; fails unless its exit code is 0. */
+    String runTool(String... arguments) throws Exception {
         List<String> all = new ArrayList<>(List.of(arguments));
         all.addAll(List.of(
                 "--node", "http://127.0.0.1:" + node(1).ports().administration(), "--token", NodeProcess.TOKEN));
--- a/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/process/LivingFleetTest.java
+++ b/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/process/FleetFaultTest.java
@@ -21,8 +21,8 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.wagtaillug.daemon.Json;
 
-/** What leaves all processes alive. The tests share one fleet and each leaves it without faults. */
-class LivingFleetTest {
+/** Failures in which all processes stay alive. The tests share one fleet, and each clears its faults. */
+class FleetFaultTest {
     private static final int ROUNDS = 10;
 
     @TempDir
@@ -48,12 +48,12 @@
     }
 
     /**
-     * Story: operators see connections to the encoders that nobody closed and nobody answers, as when a firewall between
-     * has lost track of them. Every node holds such connections from the requests before; new ones work. A caller would
-     * see its draft hang until its deadline if the node trusted the open socket.
+     * Guards against drafts that hang until their deadline on dead connections: a firewall between the nodes and the
+     * encoders loses track of the connections that every node has open from earlier requests. They are neither closed
+     * nor answered; new connections work.
      */
     @Test
-    void draftsAreServedOnNewConnectionsWhenTheOpenOnesGoSilent() throws Exception {
+    void draftsAreServedOnNewConnectionsWhenOpenOnesStopResponding() throws Exception {
         try (Load load = Load.start(fleet.nodes(), 2)) {
             load.awaitServed(60);
             for (String encoder : StandIns.pool("encode")) {
@@ -65,22 +65,22 @@
     }
 
     /**
-     * Story: operators take a failure domain out because its power is about to be cut. The tool says that this is in force
-     * on all nodes. From then on what they see running there must only end; a request that started there later would be
-     * lost with the domain. Brought back, the domain works again.
+     * Operators take a failure domain out of service before its power is cut, and the tool reports that this is in
+     * force on all nodes. Guards against requests that start there later and would be lost with the domain. When the
+     * domain is brought back, it gets requests again.
      */
     @Test
-    void aFailureDomainThatIsOutGetsNothingNew() throws Exception {
-        List<String> out = inDomain("zone-b");
+    void aFailureDomainOutOfServiceGetsNoNewRequests() throws Exception {
+        List<String> out = upstreamsIn("zone-b");
         try (Load load = Load.start(fleet.nodes(), 2)) {
             load.awaitServed(60);
-            assertThat(fleet.operate("domain", "out", "zone-b", "--wait", "--timeout", "60s"))
+            assertThat(fleet.runTool("domain", "out", "zone-b", "--wait", "--timeout", "60s"))
                     .contains("in force on 3 of 3 nodes");
             awaitIdle(out);
             long before = fleet.standIns().executed(out);
             load.awaitServed(150);
             assertThat(fleet.standIns().executed(out)).isEqualTo(before);
-            assertThat(fleet.operate("domain", "back", "zone-b", "--wait", "--timeout", "60s"))
+            assertThat(fleet.runTool("domain", "back", "zone-b", "--wait", "--timeout", "60s"))
                     .contains("in force on 3 of 3 nodes");
             Waiting.until("zone-b works again", () -> fleet.standIns().executed(out) > before);
             assertThat(load.end()).isEmpty();
@@ -88,11 +88,11 @@
     }
 
     /**
-     * Story: the platform is about to replace the VM of an encoder and lists it as leaving. What runs there ends; a
-     * request that is sent there after the nodes have read the list would be cut with the VM.
+     * The platform is about to replace the VM of an encoder and lists it as leaving. Guards against requests that are
+     * sent there after the nodes have read the list and would be cut when the VM is replaced.
      */
     @Test
-    void anUpstreamThatIsLeavingGetsNothingNew() throws Exception {
+    void aLeavingUpstreamGetsNoNewRequests() throws Exception {
         String leaving = "encode-zone-a";
         try (Load load = Load.start(fleet.nodes(), 2)) {
             load.awaitServed(60);
@@ -113,16 +113,16 @@
     }
 
     /**
-     * Story: two operators, each with a node of their own, change the same pool from the same version at the same moment.
-     * If each node took its own operator's change, nodes would differ for good, or one operator would believe in a change
-     * that is gone.
+     * Two operators change the same pool from the same version at the same moment, each through a different node.
+     * Guards against nodes that apply different changes and differ permanently, and against reporting success for a
+     * change that was discarded.
      */
     @Test
-    void oneOfTwoCrossingChangesWinsEverywhere() throws Exception {
+    void oneOfTwoConcurrentChangesTakesEffectOnAllNodes() throws Exception {
         for (int round = 0; round < ROUNDS; round++) {
             long base = fleet.node(1).versions().get("pool/rerank");
             int limit = 20 + 2 * round;
-            List<Answer> answers = together(List.of(
+            List<Answer> answers = callConcurrently(List.of(
                     () -> changeRerank(fleet.node(1), base, limit),
                     () -> changeRerank(fleet.node(2), base, limit + 1)));
             List<Answer> won =
@@ -148,8 +148,8 @@
     }
 
     /**
-     * Story: an impatient caller sends one booking to three nodes at once. Each node asks the log for the key; only the
-     * first may call the service, or the guest has two tables.
+     * A caller sends one booking to three nodes at once. Each node claims the key in the log; guards against more than
+     * one of them calling the service, which would book two tables.
      */
     @Test
     void oneKeySentToAllNodesAtOnceIsExecutedOnce() throws Exception {
@@ -159,7 +159,7 @@
             for (NodeProcess node : fleet.nodes()) {
                 calls.add(() -> node.booking(key, Fleet.DEADLINE_MILLIS));
             }
-            List<Answer> answers = together(calls);
+            List<Answer> answers = callConcurrently(calls);
             assertThat(fleet.standIns().executions(key))
                     .as("round %d: %s", round, answers)
                     .isOne();
@@ -176,8 +176,8 @@
     }
 
     /**
-     * Story: the log takes an operator's change, but the connection breaks before the answer. The operator waits for what
-     * came of it. Appending again blindly would make a second version; giving up would call a change lost that is in force.
+     * The log appends a change, but the connection breaks before its answer. Guards against appending it again, which
+     * would create a second version, and against reporting a change as lost that is in force.
      */
     @Test
     void aChangeWhoseAppendAnswerIsLostIsReportedWithItsVersion() throws Exception {
@@ -197,29 +197,30 @@
     }
 
     /**
-     * Story: an operator's tool loses the answer to a change and sends it again. Meanwhile another operator has changed the
-     * same key. Written a second time, from whatever version is newest, the first change would undo the second.
+     * The tool does not receive the answer to a change and sends the change again, while another operator has changed
+     * the same key. Guards against writing the first change again from the newest version, which would undo the second
+     * one.
      */
     @Test
-    void aChangeThatIsSentAgainIsAnsweredWithItsFirstOutcomeAndNotWrittenAgain() throws Exception {
+    void aRepeatedChangeGetsItsFirstOutcomeAndIsNotWrittenAgain() throws Exception {
         NodeProcess node = fleet.node(1);
         String changeId = UUID.randomUUID().toString();
         ObjectNode body = Json.object().put("kind", "pool").put("id", "encode").put("warm_limit", 9);
         Answer first = node.change("pool/encode", -1, body, changeId);
         assertThat(first.status()).as(first.toString()).isEqualTo(200);
-        ObjectNode others = body.deepCopy().put("warm_limit", 10);
+        ObjectNode otherBody = body.deepCopy().put("warm_limit", 10);
         Answer between =
-                node.change("pool/encode", -1, others, UUID.randomUUID().toString());
+                node.change("pool/encode", -1, otherBody, UUID.randomUUID().toString());
         assertThat(between.status()).as(between.toString()).isEqualTo(200);
         assertThat(node.change("pool/encode", -1, body, changeId)).isEqualTo(first);
         assertThat(node.versions())
                 .containsEntry("pool/encode", between.json().path("version").asLong());
         assertThat(fleet.standIns().recordsWith("control", changeId)).isOne();
-        assertRefused(node.change("pool/encode", -1, others, changeId), 400, 100, "was used for another change");
+        assertRefused(node.change("pool/encode", -1, otherBody, changeId), 400, 100, "was used for another change");
     }
 
     @Test
-    void whatTheAdministrationInterfaceDoesNotKnowIsRefusedWithACode() throws Exception {
+    void unknownAdministrationRequestsAreRefusedWithACode() throws Exception {
         NodeProcess node = fleet.node(1);
         assertRefused(node.adminAnswer("nodse"), 404, 109, "nodse");
         assertRefused(node.adminAnswer("configuration/pool/encoed"), 404, 109, "pool/encoed");
@@ -240,9 +241,9 @@
         assertThat(answer.json().path("message").asText()).contains(message);
     }
 
-    /** Each view has the fields that docs/API.md gives it and that the operators' tool shows. */
+    /** Each view has the fields that docs/API.md lists and that the command-line tool shows. */
     @Test
-    void theViewsHaveTheFieldsOfTheirPage() throws Exception {
+    void theViewsHaveTheDocumentedFields() throws Exception {
         NodeProcess node = fleet.node(1);
         Answer draft = node.draft(Fleet.DEADLINE_MILLIS);
         assertThat(draft.served()).as(draft.toString()).isTrue();
@@ -257,16 +258,16 @@
         assertThat(node.admin("ownership").at("/ownership/0").properties())
                 .extracting(Map.Entry::getKey)
                 .startsWith("vm", "owner", "fencing_number", "may_grant");
-        assertThat(fleet.operate("ownership")).contains("encode-zone-a").contains("yes");
-        assertThat(fleet.operate("nodes")).contains("node-3");
+        assertThat(fleet.runTool("ownership")).contains("encode-zone-a").contains("yes");
+        assertThat(fleet.runTool("nodes")).contains("node-3");
     }
 
     /**
-     * Story: the log records the claim of a booking's key, but the answer is lost. The caller waits for its table. A node
-     * that claimed again, or that sent without knowing who holds the key, could book twice.
+     * The log records the claim of the key of a booking, but its answer is lost. Guards against a node that claims
+     * again, or that sends without knowing who holds the key: it could book twice.
      */
     @Test
-    void aBookingWhoseClaimAnswerIsLostRunsOnce() throws Exception {
+    void aBookingWhoseClaimAnswerIsLostIsExecutedOnce() throws Exception {
         String key = Fleet.newKey();
         fleet.standIns().fault("log", "{\"fault\": \"answer-lost\", \"count\": 2}");
         Answer first = fleet.node(2).booking(key, Fleet.DEADLINE_MILLIS);
@@ -278,12 +279,12 @@
     }
 
     /**
-     * Story: a booking takes long, its caller gives up and asks another node with the same key, but with little time. At its
-     * deadline that node knows that the key is being run. Were it to answer "not run", the caller would tell its guest so,
-     * and the table would be booked all the same.
+     * A booking takes long; its caller gives up and sends the same key to another node with a short deadline. At the
+     * deadline that node knows that the key is being executed. Guards against the answer "not run", after which the
+     * caller would tell its guest that there is no booking.
      */
     @Test
-    void aRepeatWhoseDeadlinePassesWhileTheKeyRunsIsNotToldNotRun() throws Exception {
+    void aRepeatedRequestWhoseDeadlinePassesDuringTheFirstIsNotReportedAsNotRun() throws Exception {
         for (String service : StandIns.pool(StandIns.SERVICES)) {
             fleet.standIns().fault(service, "{\"fault\": \"slow\", \"factor\": 1000}");
         }
@@ -291,7 +292,8 @@
         CompletableFuture<Answer> first =
                 CompletableFuture.supplyAsync(() -> fleet.node(1).booking(key, Fleet.DEADLINE_MILLIS));
         Waiting.until("the first runs", () -> fleet.node(1).attempts("book") == 1);
-        // The second node sends only when it has read its own claim, which stands after that of the first.
+        // The second node sends only after it has read its own claim, which follows the claim of the first node in the
+        // log.
         CompletableFuture<Answer> other =
                 CompletableFuture.supplyAsync(() -> fleet.node(2).booking(Fleet.newKey(), Fleet.DEADLINE_MILLIS));
         Waiting.until("the second node has read the claims", () -> fleet.node(2).attempts("book") == 1);
@@ -302,7 +304,7 @@
         assertThat(fleet.standIns().executions(key)).isOne();
     }
 
-    private static List<Answer> together(List<Callable<Answer>> calls) throws Exception {
+    private static List<Answer> callConcurrently(List<Callable<Answer>> calls) throws Exception {
         ExecutorService callers = Executors.newFixedThreadPool(calls.size());
         try {
             List<Answer> answers = new ArrayList<>();
@@ -315,7 +317,7 @@
         }
     }
 
-    private static List<String> inDomain(String domain) {
+    private static List<String> upstreamsIn(String domain) {
         List<String> names = new ArrayList<>();
         for (String stage : StandIns.STAGES) {
             names.add(stage + "-" + domain);
--- a/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/process/Http.java
+++ b/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/process/Http.java
@@ -13,14 +13,14 @@
 import org.eclipse.jetty.http.HttpMethod;
 import org.wagtaillug.daemon.Json;
 
-/** A blocking HTTP client on loopback that reports a broken connection as {@link Answer#CUT}. */
+/** A blocking HTTP client for the loopback interface that reports a broken connection as {@link Answer#INCOMPLETE}. */
 final class Http implements AutoCloseable {
-    private static final int CONNECTIONS = 256;
+    private static final int MAX_CONNECTIONS = 256;
 
     private final HttpClient client = new HttpClient();
 
     Http() throws Exception {
-        client.setMaxConnectionsPerDestination(CONNECTIONS);
+        client.setMaxConnectionsPerDestination(MAX_CONNECTIONS);
         client.setIdleTimeout(0);
         client.start();
     }
@@ -38,7 +38,7 @@
     private Request request(int port, String path, Map<String, String> headers) {
         Request request = client.newRequest("127.0.0.1", port).path(path);
         request.headers(fields -> headers.forEach(fields::put));
-        return request.timeout(Waiting.BOUND.toMillis(), TimeUnit.MILLISECONDS);
+        return request.timeout(Waiting.TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
     }
 
     private static Answer send(Request request) {
@@ -48,10 +48,10 @@
             return new Answer(
                     response.getStatus(), retryAfter == null ? "" : retryAfter, response.getContentAsString());
         } catch (ExecutionException | TimeoutException broken) {
-            return Answer.CUT;
+            return Answer.INCOMPLETE;
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
-            return Answer.CUT;
+            return Answer.INCOMPLETE;
         }
     }
 
@@ -60,7 +60,7 @@
         try {
             client.stop();
         } catch (Exception fault) {
-            throw new IllegalStateException("the HTTP client does not stop", fault);
+            throw new IllegalStateException("the HTTP client did not stop", fault);
         }
     }
 }
--- a/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/process/JavaProcess.java
+++ b/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/process/JavaProcess.java
@@ -9,9 +9,9 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** One JVM with the test's own class path, its output in a file. */
+/** A JVM with the class path of the test, whose output goes to a file. */
 final class JavaProcess {
-    /** The daemon's end of the JVM is in its exit code; a signal that a test sends is one of these. */
+    /** Signals that tests send; the exit code of the JVM tells how it ended. */
     enum Signal {
         STOP,
         CONT,
@@ -19,7 +19,7 @@
         KILL
     }
 
-    private static final List<String> SMALL =
+    private static final List<String> JVM_OPTIONS =
             List.of("-Xmx128m", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-XX:-UsePerfData");
 
     private final Process process;
@@ -33,14 +33,14 @@
     static JavaProcess start(Class<?> main, Path output, String... arguments) throws IOException {
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-        command.addAll(SMALL);
+        command.addAll(JVM_OPTIONS);
         command.addAll(List.of("-cp", System.getProperty("java.class.path"), main.getName()));
         command.addAll(List.of(arguments));
         Process process = new ProcessBuilder(command)
                 .redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(output.toFile()))
                 .start();
-        // A test JVM that is ended from outside would otherwise leave this process behind.
+        // Otherwise the process would keep running when the test JVM is killed by a signal.
         Runtime.getRuntime().addShutdownHook(new Thread(process::destroyForcibly));
         return new JavaProcess(process, output);
     }
@@ -62,14 +62,14 @@
         assertThat(kill.waitFor()).as("exit code of kill -" + signal).isZero();
     }
 
-    /** Waits for the end and gives the exit code. */
+    /** Waits for the end of the process and returns its exit code. */
     int exitCode() throws InterruptedException {
-        boolean ended = process.waitFor(Waiting.BOUND.toMillis(), TimeUnit.MILLISECONDS);
+        boolean ended = process.waitFor(Waiting.TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
         assertThat(ended).as("the process has ended; its output: " + output()).isTrue();
         return process.exitValue();
     }
 
-    /** Ends the process whatever state it is in, stopped ones included. */
+    /** Kills the process, even when it is stopped. */
     void destroy() {
         process.destroyForcibly();
         process.onExit().join();
--- a/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/process/Load.java
+++ b/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/process/Load.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Drafts sent without a pause: each node has callers that send the next when the last is answered. */
+/** Sends drafts without a pause: each node has callers that send the next draft when the last one is answered. */
 final class Load implements AutoCloseable {
     private final ExecutorService callers = Executors.newCachedThreadPool();
     private final Queue<Failed> failed = new ConcurrentLinkedQueue<>();
@@ -23,8 +23,8 @@
     /**
      * A draft that was not served.
      *
-     * @param vm the node that was asked
-     * @param answer what it said
+     * @param vm the node that received it
+     * @param answer its answer
      */
     record Failed(String vm, Answer answer) {}
 
@@ -49,17 +49,17 @@
         }
     }
 
-    /** Waits until some more are served than are now. */
+    /** Waits until the given number of further drafts are served. */
     void awaitServed(int more) {
-        long aim = served.get() + more;
-        Waiting.until(more + " more drafts are served; not served: " + failed, () -> served.get() >= aim);
+        long target = served.get() + more;
+        Waiting.until(more + " more drafts are served; not served: " + failed, () -> served.get() >= target);
     }
 
-    /** Lets the last callers get their answer and gives what was not served. */
+    /** Waits for the last answers and returns the drafts that were not served. */
     List<Failed> end() throws InterruptedException {
         ending = true;
         callers.shutdown();
-        assertThat(callers.awaitTermination(Waiting.BOUND.toSeconds(), TimeUnit.SECONDS))
+        assertThat(callers.awaitTermination(Waiting.TIMEOUT.toSeconds(), TimeUnit.SECONDS))
                 .as("every caller got an answer")
                 .isTrue();
         return new ArrayList<>(failed);
--- a/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/process/LogOutageTest.java
+++ b/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/process/LogOutageTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.wagtaillug.daemon.Json;
 
-/** The log service is away. */
+/** Behaviour while the log service is unavailable. */
 class LogOutageTest {
     @TempDir
     private Path directory;
@@ -34,12 +34,12 @@
     }
 
     /**
-     * Story: the platform's log is down. Drafts go on as before. A booking cannot be recorded, so it is refused, and the
-     * refusal says truly that it was not run. A VM is replaced meanwhile; its node learns the configuration from the
-     * others. When the log is back, nothing that was in force before is gone, and operators can change it again.
+     * The log service is down. Drafts are still served. A booking cannot be recorded and is refused as not run. A node
+     * that is restarted meanwhile gets the configuration from the other nodes. Guards against losing, after the log is
+     * available again, configuration that was in force before, or the ability to change it.
      */
     @Test
-    void draftsGoOnBookingsAreRefusedAndNothingReverts() throws Exception {
+    void draftsAreServedBookingsAreRefusedAndConfigurationIsKept() throws Exception {
         Map<String, Long> before = fleet.node(1).versions();
         NodeProcess restarted = fleet.node(1);
         try (Load load = Load.start(List.of(fleet.node(2), fleet.node(3)), 2)) {
@@ -73,11 +73,11 @@
     }
 
     /**
-     * Story: a VM is replaced while the platform's log is down. Its new node cannot join the roster, yet the balancer sends
-     * it requests as soon as it says that it is ready; each has to be served like at any other node.
+     * A VM is replaced while the log service is down. Its new node cannot join the roster, but the load balancer sends
+     * it requests as soon as it reports that it is ready. Guards against requests that are not served there.
      */
     @Test
-    void aNodeThatStartsDuringTheOutageServes() throws Exception {
+    void aNodeThatStartsDuringTheOutageServesRequests() throws Exception {
         NodeProcess restarted = fleet.node(1);
         try (Load load = Load.start(fleet.nodes(), 2)) {
             load.awaitServed(100);
--- a/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/process/NodeFailureTest.java
+++ b/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/process/NodeFailureTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.wagtaillug.daemon.Json;
 
-/** A node that dies, stands still or is asked to end, under load. Each test has a fleet of its own. */
+/** A node that crashes, is paused or is asked to shut down, under load. Each test has its own fleet. */
 class NodeFailureTest {
     private static final int COLD_LIMIT = 2;
     private static final int ROUNDS = 5;
@@ -37,12 +37,12 @@
     }
 
     /**
-     * Story: a node's VM is lost while it makes a booking. Callers of the other nodes notice nothing. The guest's caller
-     * sees its connection break and asks another node with the same key; if that node took the key over, the table would
-     * be booked twice, since the call of the dead node still runs at the service.
+     * The VM of a node is lost during a booking. Requests to other nodes are not affected. The caller of the booking
+     * sees its connection break and sends the same key to another node. Guards against a node that takes over the key:
+     * the table would be booked twice, as the call of the dead node is still running at the service.
      */
     @Test
-    void aKilledNodeLosesOnlyWhatItHeldAndNothingRunsTwice() throws Exception {
+    void aKilledNodeLosesOnlyItsOwnRequestsAndNothingIsExecutedTwice() throws Exception {
         NodeProcess killed = fleet.node(1);
         List<NodeProcess> others = List.of(fleet.node(2), fleet.node(3));
         String done = Fleet.newKey();
@@ -55,7 +55,7 @@
         try (Load load = Load.start(others, 2)) {
             CompletableFuture<Answer> first =
                     CompletableFuture.supplyAsync(() -> killed.booking(key, Fleet.DEADLINE_MILLIS));
-            Waiting.until("the booking runs", () -> killed.inFlight("book") == 1 && services("running") > 0);
+            Waiting.until("the booking runs", () -> killed.inFlight("book") == 1 && sumOverServices("running") > 0);
             killed.process().signal(JavaProcess.Signal.KILL);
             assertThat(first.get().status()).as("the caller's connection broke").isZero();
             Answer retry = fleet.node(2).booking(key, Fleet.DEADLINE_MILLIS);
@@ -76,7 +76,7 @@
         assertThat(fleet.standIns().executions(done)).isOne();
     }
 
-    private int services(String field) {
+    private int sumOverServices(String field) {
         int sum = 0;
         for (String service : StandIns.pool(StandIns.SERVICES)) {
             sum += fleet.standIns().load(service).path(field).asInt();
@@ -85,9 +85,9 @@
     }
 
     /**
-     * Story: the host of a node freezes it. The node owns upstreams and believes in grants when it wakes, but others own
-     * them now, and the upstreams have restarted meanwhile and are cold. One request that it sent by an old grant, or let
-     * another send, would push a cold server over.
+     * The host of a node suspends it. The node owns upstreams and holds grants, but on waking other nodes own these
+     * upstreams, which have restarted in the meantime and are cold. Guards against a request that is sent, or allowed
+     * to another node, by an expired grant: it would overload a cold server.
      */
     @Test
     void aNodeThatWakesAfterItsLeaseGrantsAndSendsNothingByOldRights() throws Exception {
@@ -99,12 +99,12 @@
                 atPaused.awaitServed(200);
                 paused.process().signal(JavaProcess.Signal.STOP);
                 for (NodeProcess other : others) {
-                    Waiting.until(other.vm() + " sees other owners than the paused node", () -> owned(other) == 0);
+                    Waiting.until(other.vm() + " sees other owners than the paused node", () -> countOwned(other) == 0);
                 }
                 before.awaitServed(50);
                 assertThat(before.end()).isEmpty();
             }
-            // Nodes that are awake cannot know of a restart before the upstream tells, so they hold no rights here.
+            // Running nodes cannot know of a restart before the upstream reports it, so they must not hold rights here.
             for (String upstream : StandIns.stages()) {
                 fleet.standIns().fault(upstream, "{\"fault\": \"restart\", \"down_millis\": 0}");
             }
@@ -133,18 +133,18 @@
         }
     }
 
-    /** How many upstreams the first node owns, as another sees it. */
-    private static int owned(NodeProcess asked) {
-        int owned = 0;
+    /** The number of upstreams that the first node owns according to another node. */
+    private static int countOwned(NodeProcess asked) {
+        int countOwned = 0;
         for (JsonNode line : asked.admin("upstreams").path("upstreams")) {
             if (line.path("owner").asText().startsWith("node-1#")) {
-                owned++;
+                countOwned++;
             }
         }
-        return owned;
+        return countOwned;
     }
 
-    /** Whether a node may send nothing anywhere: what it was granted before, and its fixed shares, have lapsed. */
+    /** Whether a node may not send to any upstream because its earlier grants and its fixed shares have expired. */
     private static boolean withoutRights(NodeProcess node) {
         for (JsonNode upstream : node.admin("upstreams").path("upstreams")) {
             if (upstream.path("allowed").asInt() > 0) {
@@ -155,17 +155,17 @@
     }
 
     /**
-     * Story: a node has claimed a booking's key on the log and is frozen before it sends. The caller gives up on it and asks
-     * another node with the same key. That node cannot know whether the sleeper has sent or will; if it ran the booking, the
-     * sleeper would book a second time on waking.
+     * A node has claimed the key of a booking in the log and is suspended before it sends. The caller gives up and
+     * sends the same key to another node, which cannot know whether the first node has sent the booking or will. Guards
+     * against executing the booking on the second node: the first one would book again on waking.
      */
     @Test
-    void aBookingThatWasClaimedAndNotSentIsNotRunTwice() throws Exception {
+    void aBookingThatWasClaimedButNotSentIsNotExecutedTwice() throws Exception {
         NodeProcess paused = fleet.node(1);
         boolean claimedAndNotSent = false;
         for (int round = 0; round < ROUNDS && !claimedAndNotSent; round++) {
             String key = Fleet.newKey();
-            // The record is on the log at once, but neither the append's answer nor a read tells for a while.
+            // The record is appended immediately, but the answer to the append and all reads are delayed.
             fleet.standIns().fault("log", "{\"fault\": \"slow\", \"factor\": 900}");
             CompletableFuture<Answer> first =
                     CompletableFuture.supplyAsync(() -> paused.booking(key, Fleet.DEADLINE_MILLIS));
@@ -173,20 +173,20 @@
             fleet.standIns().fault("log", "{\"fault\": \"none\"}");
             Waiting.until("the claim is on the log", () -> fleet.standIns().recordsWith("claims", key) > 0);
             paused.process().signal(JavaProcess.Signal.STOP);
-            claimedAndNotSent = fleet.standIns().executions(key) == 0 && services("running") == 0;
+            claimedAndNotSent = fleet.standIns().executions(key) == 0 && sumOverServices("running") == 0;
             Waiting.until("the paused node is removed", () -> !fleet.node(2).lists(paused.vm()));
             Answer retry = fleet.node(2).booking(key, Fleet.DEADLINE_MILLIS);
             paused.process().signal(JavaProcess.Signal.CONT);
             paused.awaitReady();
             Answer answer = first.get();
             Answer last = fleet.node(3).booking(key, Fleet.DEADLINE_MILLIS);
-            String told = "first " + answer + ", retry " + retry + ", last " + last;
-            assertThat(retry.run()).as(told).isNotEqualTo("not-run");
+            String description = "first " + answer + ", retry " + retry + ", last " + last;
+            assertThat(retry.run()).as(description).isNotEqualTo("not-run");
             int executions = fleet.standIns().executions(key);
-            assertThat(executions).as(told).isLessThanOrEqualTo(1);
+            assertThat(executions).as(description).isLessThanOrEqualTo(1);
             for (Answer each : List.of(answer, last)) {
                 if (each.served()) {
-                    assertThat(executions).as(told).isOne();
+                    assertThat(executions).as(description).isOne();
                 }
             }
         }
@@ -196,11 +196,11 @@
     }
 
     /**
-     * Story: operators replace a node's VM; the platform sends it SIGTERM while drafts are in the middle of their text. Each
-     * caller gets its whole draft, the node leaves the roster, and the process reports an orderly end.
+     * Operators replace the VM of a node; the platform sends SIGTERM while drafts are being generated. Each caller must
+     * get its complete draft, the node must leave the roster, and the process must exit with code 0.
      */
     @Test
-    void aNodeThatIsAskedToEndAnswersAllItsRequestsWhole() throws Exception {
+    void aNodeThatShutsDownCompletesAllItsRequests() throws Exception {
         NodeProcess ending = fleet.node(1);
         for (String engine : StandIns.pool("generate")) {
             fleet.standIns().fault(engine, "{\"fault\": \"slow\", \"factor\": 60}");
--- a/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/process/NodeGraceTest.java
+++ b/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/process/NodeGraceTest.java
@@ -22,26 +22,26 @@
 import org.wagtaillug.daemon.Json;
 import org.wagtaillug.daemon.process.JavaProcess.Signal;
 
-/** Nodes that are killed a fixed time after SIGTERM. Each test ends another node of the one fleet. */
+/** Nodes that are killed a fixed time after SIGTERM. Each test stops a different node of one fleet. */
 class NodeGraceTest {
     private static final String GRACE = "shutdown_grace: 5s\n";
 
     /**
-     * What makes an answer larger than the buffers of a connection. The node writes a number longer than it reads it, so that
-     * the upstream's answer is within the node's limit.
+     * Makes an answer larger than the buffers of a connection. The node writes a number with more characters than it
+     * reads, so the answer of the upstream is within the limit of the node.
      */
-    private static final int LARGE_NUMBERS = 600_000;
+    private static final int LARGE_COUNT = 600_000;
 
-    private static final int LARGE_BYTES = LARGE_NUMBERS * "1000000.0,".length();
+    private static final int LARGE_BYTES = LARGE_COUNT * "1000000.0,".length();
 
     private static final String LARGE_INPUT = "a large one";
 
     private static final int READER_BUFFER_BYTES = 65_536;
 
-    /** Longer than it takes the node to be idle and out of the balancer's rotation, shorter than the grace. */
+    /** Longer than it takes until the node is idle and the load balancer has removed it, shorter than the grace. */
     private static final long READER_PAUSE_MILLIS = 3_000;
 
-    private static final int READER_PATIENCE_MILLIS = 30_000;
+    private static final int READER_TIMEOUT_MILLIS = 30_000;
 
     private static final long STARTED_AT_MILLIS = System.currentTimeMillis();
 
@@ -91,7 +91,7 @@
     private static void picture(HttpExchange exchange) throws IOException {
         JsonNode asked = Json.read(exchange.getRequestBody().readAllBytes()).get();
         boolean large = asked.toString().contains(LARGE_INPUT);
-        String numbers = "1e6,".repeat(large ? LARGE_NUMBERS : 1) + "1e6";
+        String numbers = "1e6,".repeat(large ? LARGE_COUNT : 1) + "1e6";
         String answer = "{\"request\": %s, \"attempt\": %s, \"output\": [%s]}"
                 .formatted(asked.path("request"), asked.path("attempt"), numbers);
         send(exchange, answer.getBytes(StandardCharsets.US_ASCII));
@@ -104,12 +104,13 @@
     }
 
     /**
-     * Story: a supervisor gives a node 5 s. A booking and a draft are with upstreams that take longer, and a third request
-     * comes just after the signal. All three callers see their connections end without a word when the process ends.
-     * Cause: the third is begun though what is left does not cover it, and the end of the drain answers nobody.
+     * A supervisor kills a node 5 s after SIGTERM. A booking and a draft are at upstreams that take longer, and a third
+     * request arrives just after the signal. Guards against ending the process without an answer to all three callers.
+     * The failure came from starting the third request although the remaining time did not suffice, and from a drain
+     * that ended without answering open requests.
      */
     @Test
-    void whenTheGraceIsOverEveryCallerHasAnAnswer() throws Exception {
+    void everyCallerHasAnAnswerAtTheEndOfTheGrace() throws Exception {
         NodeProcess ending = fleet.node(1);
         for (String slow : StandIns.pool(StandIns.SERVICES)) {
             fleet.standIns().fault(slow, "{\"fault\": \"slow\", \"factor\": 3000}");
@@ -136,18 +137,18 @@
     }
 
     /**
-     * Story: a caller on a thin line reads a large answer when its node is asked to end. Everything is answered, as far as
-     * the node knows, so it closes its ports with half of the answer still to be written. The caller, with most of the
-     * grace left, has a part of a picture. Cause: an answer counts as given when its writing begins.
+     * A caller on a slow connection is reading a large answer when its node is asked to shut down. Guards against
+     * closing the ports before the answer is completely written although most of the grace is left. The failure came
+     * from counting an answer as sent when writing starts.
      */
     @Test
-    void anAnswerThatIsReadSlowlyIsWrittenWhole() throws Exception {
+    void anAnswerToASlowReaderIsCompletelyWritten() throws Exception {
         NodeProcess ending = fleet.node(2);
         Waiting.until("the node has pictures served", () -> picture(ending).served());
         try (Socket caller = new Socket()) {
             caller.setReceiveBufferSize(READER_BUFFER_BYTES);
             caller.connect(new InetSocketAddress("127.0.0.1", ending.ports().callers()));
-            caller.setSoTimeout(READER_PATIENCE_MILLIS);
+            caller.setSoTimeout(READER_TIMEOUT_MILLIS);
             caller.getOutputStream().write(pictureRequest());
             InputStream answer = caller.getInputStream();
             ByteArrayOutputStream read = new ByteArrayOutputStream();
--- a/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/process/NodeProcess.java
+++ b/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/process/NodeProcess.java
@@ -11,13 +11,13 @@
 import org.wagtaillug.daemon.Json;
 import org.wagtaillug.daemon.Main;
 
-/** One entry node as a process, with what callers and operators ask of it. */
+/** An entry node in its own process, with the requests of callers and operators to it. */
 final class NodeProcess {
     static final String TOKEN = "operator-token-of-tests";
 
     private static final Map<String, String> AUTHORIZED = Map.of("Authorization", "Bearer " + TOKEN);
 
-    /** Where a node listens. */
+    /** The ports of a node. */
     record Ports(int callers, int administration, int link) {}
 
     private final String vm;
@@ -51,7 +51,7 @@
         process = JavaProcess.start(Main.class, output, "--settings", settings.toString());
     }
 
-    /** Waits until the node takes requests; its output is in the failure if it has ended. */
+    /** Waits until the node is ready; if its process has ended, the failure contains its output. */
     void awaitReady() {
         Waiting.until("node " + vm + " is ready; its output: " + process.output(), () -> {
             if (!process.alive()) {
@@ -61,7 +61,7 @@
         });
     }
 
-    /** Whether the node says that the balancer may send requests to it. */
+    /** Whether the node reports that the load balancer may send requests to it. */
     boolean ready() {
         return http.get(ports.administration(), "/readyz", Map.of()).status() == 200;
     }
@@ -89,7 +89,7 @@
         return request("booking", Json.object(), deadlineMillis, Map.of("Idempotency-Key", key));
     }
 
-    /** Sends a request under an id of its own and checks that the answer is to that request. */
+    /** Sends a request with a unique id and checks that the answer belongs to it. */
     Answer request(String template, ObjectNode body, long deadlineMillis, Map<String, String> headers) {
         String id = "test-" + UUID.randomUUID();
         Map<String, String> all = new HashMap<>(headers);
@@ -106,7 +106,7 @@
         return answer;
     }
 
-    /** Whether this node counts a run of a VM among the members of the roster. */
+    /** Whether this node lists an instance of a VM among the members of the roster. */
     boolean lists(String other) {
         for (JsonNode node : admin("nodes").path("nodes")) {
             if (node.path("node").asText().startsWith(other + "#")) {
@@ -116,7 +116,7 @@
         return false;
     }
 
-    /** How many requests the node works on in a stage. */
+    /** The number of requests that the node is processing in a stage. */
     int inFlight(String stage) {
         int found = 0;
         for (JsonNode request : admin("requests").path("requests")) {
@@ -127,7 +127,7 @@
         return found;
     }
 
-    /** How many attempts the requests in a stage have sent. */
+    /** The number of attempts that the requests in a stage have sent. */
     int attempts(String stage) {
         int found = 0;
         for (JsonNode request : admin("requests").path("requests")) {
@@ -138,7 +138,7 @@
         return found;
     }
 
-    /** The version of each key in force here, by key. */
+    /** The version of each key in force on this node. */
     Map<String, Long> versions() {
         Map<String, Long> versions = new HashMap<>();
         for (JsonNode entry : admin("configuration").path("entries")) {
--- a/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/process/StandIns.java
+++ b/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/process/StandIns.java
@@ -14,7 +14,7 @@
 import org.wagtaillug.daemon.Json;
 import org.wagtaillug.standin.Main;
 
-/** The platform's stand-ins in one process: log, VM list, and one server of each pool in each failure domain. */
+/** The stand-ins of the platform in one process: log, VM list, and one server of each pool in each failure domain. */
 final class StandIns {
     static final List<String> DOMAINS = List.of("zone-a", "zone-b", "zone-c");
     static final List<String> STAGES = List.of("encode", "rerank", "generate");
@@ -86,7 +86,7 @@
         return ports.get(name);
     }
 
-    /** The stand-ins of a pool, one for each failure domain. */
+    /** The stand-ins of a pool, one in each failure domain. */
     static List<String> pool(String pool) {
         List<String> names = new ArrayList<>();
         for (String domain : DOMAINS) {
@@ -95,7 +95,7 @@
         return names;
     }
 
-    /** The stand-ins that a draft passes through. */
+    /** The stand-ins of all stages of a draft. */
     static List<String> stages() {
         List<String> names = new ArrayList<>();
         for (String stage : STAGES) {
@@ -108,7 +108,7 @@
         JsonNode body = Json.read(fault).get();
         Answer answer = http.send(HttpMethod.POST, port(name), "/faults", Map.of(), body);
         if (answer.status() != 200) {
-            throw new AssertionError(name + " did not take " + fault + ": " + answer);
+            throw new AssertionError(name + " rejected " + fault + ": " + answer);
         }
     }
 
@@ -122,12 +122,12 @@
         return http.get(port(name), "/counters", Map.of()).json();
     }
 
-    /** What an upstream reports of its load. */
+    /** The load report of an upstream. */
     JsonNode load(String name) {
         return http.get(port(name), "/load", Map.of()).json();
     }
 
-    /** How many requests the named stand-ins have finished, together. */
+    /** The total number of requests that the given stand-ins have finished. */
     long executed(List<String> names) {
         long executed = 0;
         for (String name : names) {
@@ -136,7 +136,7 @@
         return executed;
     }
 
-    /** How often the services executed a key, together. */
+    /** The total number of executions of a key at all services. */
     int executions(String key) {
         int found = 0;
         for (String service : pool(SERVICES)) {
@@ -151,7 +151,7 @@
         return found;
     }
 
-    /** How many records of a stream hold a text. */
+    /** The number of records of a stream that contain a text. */
     int recordsWith(String stream, String text) {
         int found = 0;
         JsonNode read = http.get(port("log"), "/streams/" + stream + "/records", Map.of())
@@ -183,7 +183,7 @@
                 .put("state", state);
         Answer answer = http.send(HttpMethod.PUT, port("vms"), "/vms/" + name, Map.of(), vm);
         if (answer.status() != 200) {
-            throw new AssertionError("the VM list did not take " + vm + ": " + answer);
+            throw new AssertionError("the VM list rejected " + vm + ": " + answer);
         }
     }
 
--- a/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/process/Waiting.java
+++ b/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/process/Waiting.java
@@ -7,17 +7,19 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 
-/** Bounded waiting for what other processes do. The bound only ends a test that would hang; nothing is measured by it. */
+/**
+ * Waits for conditions in other processes. The time-out only ends a test that would hang; no time is measured with it.
+ */
 final class Waiting {
-    static final Duration BOUND = Duration.ofSeconds(90);
+    static final Duration TIMEOUT = Duration.ofSeconds(90);
 
-    private static final long PERIOD_MILLIS = 50;
+    private static final long POLL_INTERVAL_MILLIS = 50;
 
     private Waiting() {}
 
-    /** Asks again and again until the condition holds; fails after {@link #BOUND}. */
+    /** Polls until the condition holds; fails after {@link #TIMEOUT}. */
     static void until(String what, BooleanSupplier condition) {
-        long end = System.nanoTime() + BOUND.toNanos();
+        long end = System.nanoTime() + TIMEOUT.toNanos();
         while (!condition.getAsBoolean()) {
             assertThat(System.nanoTime()).as(what).isLessThan(end);
             pause();
@@ -26,7 +28,7 @@
 
     private static void pause() {
         try {
-            new CountDownLatch(1).await(PERIOD_MILLIS, TimeUnit.MILLISECONDS);
+            new CountDownLatch(1).await(POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
             throw new IllegalStateException("interrupted while waiting", interrupted);
--- a/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/process/package-info.java
+++ b/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/process/package-info.java
@@ -1,2 +1,5 @@
-/** Failures met with real processes: stand-ins of the platform and nodes, each a JVM of its own on loopback. */
+/**
+ * Failures tested with real processes: stand-ins of the platform and nodes, each in its own JVM, connected over
+ * loopback.
+ */
 package org.wagtaillug.daemon.process;
--- a/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/upstream/AttemptSenderTest.java
+++ b/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/upstream/AttemptSenderTest.java
@@ -44,7 +44,10 @@
 import org.wagtaillug.result.Payload;
 
 class AttemptSenderTest {
-    /** In which an attempt has to be sent, where the test is not about that: a busy machine takes seconds to load classes. */
+    /**
+     * Time within which an attempt may start, in tests that are not about this limit: class loading takes seconds on a
+     * busy machine.
+     */
     private static final long AMPLE_MILLIS = 10_000;
 
     private static final Stage ENCODE = Stage.builder("encode").build();
@@ -56,9 +59,9 @@
     private final MonotonicClock clock = new MonotonicClock();
     private final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
     private final Exchanges exchanges = new Exchanges();
-    private final HttpClient client = new HttpClient();
-    private final List<Runnable> later = new ArrayList<>();
-    private final HttpClient fresh = new HttpClient();
+    private final HttpClient pooledClient = new HttpClient();
+    private final List<Runnable> queuedTasks = new ArrayList<>();
+    private final HttpClient singleUseClient = new HttpClient();
     private final Set<InetSocketAddress> connections = ConcurrentHashMap.newKeySet();
     private final AtomicInteger calls = new AtomicInteger();
     private HttpServer upstream;
@@ -68,20 +71,20 @@
 
     @BeforeEach
     void start() throws Exception {
-        client.start();
-        fresh.start();
+        pooledClient.start();
+        singleUseClient.start();
         upstream = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 0);
         upstream.createContext("/", this::answer);
         upstream.start();
-        sender = new AttemptSender(client, fresh, exchanges, events::add, clock, later::add);
+        sender = new AttemptSender(pooledClient, singleUseClient, exchanges, events::add, clock, queuedTasks::add);
         OpenExchange.add(exchanges, new RequestId("r"));
     }
 
     @AfterEach
     void stop() throws Exception {
         upstream.stop(0);
-        client.stop();
-        fresh.stop();
+        pooledClient.stop();
+        singleUseClient.stop();
     }
 
     private void answer(HttpExchange exchange) throws IOException {
@@ -95,31 +98,31 @@
     }
 
     @Test
-    void anAnswerWithTheAttemptsIdsCompletesIt() throws Exception {
+    void anAnswerWithTheIdsOfTheAttemptCompletesIt() throws Exception {
         answer = "{\"request\": \"r\", \"attempt\": \"r/encode/1\", \"output\": [1, 2]}";
         assertThat(end(attempt(ENCODE, 1, AMPLE_MILLIS))).isEqualTo(new AttemptEnd.Completed(Payload.of("[1,2]")));
     }
 
     @Test
-    void theAnswerOfAnotherRequestIsNotTaken() throws Exception {
-        // An upstream mixes up two connections and answers with another guest's result. Without a look at the ids the
-        // caller would read someone else's answer.
+    void theAnswerToAnotherRequestIsRejected() throws Exception {
+        // An upstream confuses two connections and answers with the result of another guest. Guards against passing
+        // another request's answer to the caller.
         answer = "{\"request\": \"other\", \"attempt\": \"other/encode/1\", \"output\": [1, 2]}";
         assertThat(end(attempt(ENCODE, 1, AMPLE_MILLIS)))
-                .isEqualTo(new AttemptEnd.Failed(true, "the answer of attempt other/encode/1"));
+                .isEqualTo(new AttemptEnd.Failed(true, "received the answer of attempt other/encode/1"));
     }
 
     @Test
-    void anAnswerThatIsCutIsNotTaken() throws Exception {
+    void aTruncatedAnswerIsRejected() throws Exception {
         answer = "{\"request\": \"r\", \"attempt\": \"r/encode/1\", \"outp";
         assertThat(end(attempt(ENCODE, 1, AMPLE_MILLIS))).isInstanceOf(AttemptEnd.Failed.class);
     }
 
     @Test
-    void aStreamThatEndsWithoutItsLastTokenIsNotWhole() throws Exception {
+    void aStreamWithoutItsLastTokenIsIncomplete() throws Exception {
         answer = event(0, "Five ", "null") + event(1, "lunches", "null") + "data: [DONE]\n\n";
         assertThat(end(attempt(GENERATE, 1, AMPLE_MILLIS)))
-                .isEqualTo(new AttemptEnd.Failed(true, "the stream broke off at token 2"));
+                .isEqualTo(new AttemptEnd.Failed(true, "the stream ended early at token 2"));
         answer = event(1, "lunches", "null").replace("/1\"", "/2\"")
                 + event(2, ".", "\"stop\"").replace("/1\"", "/2\"");
         assertThat(end(attempt(GENERATE, 2, AMPLE_MILLIS)))
@@ -133,7 +136,7 @@
     }
 
     @Test
-    void anOverloadedUpstreamAndAWrongRequestAreToldApart() throws Exception {
+    void anOverloadedUpstreamAndARejectedRequestAreDistinguished() throws Exception {
         status = 429;
         assertThat(end(attempt(ENCODE, 1, AMPLE_MILLIS))).isEqualTo(new AttemptEnd.Overloaded());
         status = 400;
@@ -143,7 +146,7 @@
     }
 
     @Test
-    void aBookingThatCouldNotConnectIsKnownNotToHaveLeft() throws Exception {
+    void aBookingWithoutAConnectionIsKnownToBeUnsent() throws Exception {
         int closed;
         try (ServerSocket socket = new ServerSocket(0)) {
             closed = socket.getLocalPort();
@@ -154,9 +157,9 @@
     }
 
     @Test
-    void aBookingWhoseAnswerIsLostIsCalledOnceOnly() throws Exception {
-        // The ledger books and closes the connection without an answer. A client that repeats the call by itself, as
-        // many do on kept connections, would book twice.
+    void aBookingWhoseAnswerIsLostIsSentOnlyOnce() throws Exception {
+        // The ledger books and closes the connection without an answer. Guards against a client that repeats the call
+        // by itself, as many do on reused connections: it would book twice.
         upstream.removeContext("/");
         upstream.createContext("/", exchange -> {
             calls.incrementAndGet();
@@ -169,17 +172,17 @@
     }
 
     @Test
-    void anAttemptWhoseAllowanceHasRunOutIsNotSent() throws Exception {
-        // The process is paused between the decision and the sending. On waking, its allowance may belong to another
-        // node; sending would put more on a cold server than it bears.
+    void anAttemptWhoseAllowanceHasExpiredIsNotSent() throws Exception {
+        // The process is paused between the decision and the sending. After waking, its allowance may belong to another
+        // node; sending would overload a cold server.
         assertThat(end(attempt(ENCODE, 1, -1))).isEqualTo(new AttemptEnd.NotStarted());
         assertThat(calls).hasValue(0);
     }
 
     @Test
     void aRetryDoesNotUseAnOpenConnection() throws Exception {
-        // A device between the ends has lost track of all connections at once. A retry on one of them would hang like
-        // the first attempt, and so would the next, until the request has no attempt left.
+        // A network device has lost the state of all connections. Guards against retries on open connections: each
+        // would hang like the first attempt, until the request has no attempt left.
         end(attempt(ENCODE, 1, AMPLE_MILLIS));
         end(onNewConnection(attempt(ENCODE, 2, AMPLE_MILLIS)));
         end(attempt(ENCODE, 3, AMPLE_MILLIS));
@@ -189,21 +192,21 @@
     }
 
     @Test
-    void theOpenConnectionsAreLeftAfterAnAttemptWithoutASign() throws Exception {
-        // Two connections are open and both go silent. The first attempt on one of them is given up; without more the
-        // next request would find the other one and be late as well.
+    void openConnectionsAreNotUsedAfterAnAttemptWithoutResponse() throws Exception {
+        // Two connections are open and both stop responding. The first attempt on one of them is cancelled. Guards
+        // against using the other one for the next request, which would be late as well.
         ExecutorService threads = Executors.newCachedThreadPool();
-        CountDownLatch bothThere = new CountDownLatch(2);
+        CountDownLatch bothArrived = new CountDownLatch(2);
         CountDownLatch ended = new CountDownLatch(1);
         upstream.stop(0);
         upstream = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 0);
         upstream.setExecutor(threads);
         upstream.createContext("/", exchange -> {
-            bothThere.countDown();
-            await(bothThere);
+            bothArrived.countDown();
+            await(bothArrived);
             boolean silent =
                     exchange.getRequestHeaders().getFirst("Wagtaillug-Attempt").endsWith("/3");
-            await(silent ? ended : bothThere);
+            await(silent ? ended : bothArrived);
             answer(exchange);
         });
         upstream.start();
@@ -280,13 +283,13 @@
     }
 
     @Test
-    void anAttemptThatIsGivenUpBeforeItIsSentIsNotSent() throws Exception {
-        // The decision to give an attempt up overtakes its sending, which waits for a free thread. Without a note of it
-        // the attempt would go out after all, and use a place at the upstream that nobody counts.
+    void anAttemptThatIsCancelledBeforeItIsSentIsNotSent() throws Exception {
+        // The decision to cancel an attempt overtakes its sending, which waits for a free thread. Guards against
+        // sending the attempt nevertheless and occupying a slot at the upstream that no node accounts for.
         Attempt attempt = attempt(ENCODE, 1, AMPLE_MILLIS);
         sender.start(attempt);
         sender.cancel(attempt.id());
-        later.remove(0).run();
+        queuedTasks.remove(0).run();
         assertThat(events.poll(10, TimeUnit.SECONDS))
                 .isEqualTo(new Event.AttemptEnded(attempt.id(), new AttemptEnd.NotStarted()));
         assertThat(calls).hasValue(0);
@@ -294,7 +297,7 @@
 
     private void send(Attempt attempt) {
         sender.start(attempt);
-        later.remove(0).run();
+        queuedTasks.remove(0).run();
     }
 
     private AttemptEnd end(Attempt attempt) throws InterruptedException {
