--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/ProcessRun.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/ProcessRun.java
@@ -36,8 +36,7 @@
         CountDownLatch shutdownRequested = new CountDownLatch(1);
         CountDownLatch closed = new CountDownLatch(1);
         Runtime.getRuntime()
-                .addShutdownHook(
-                        new Thread(() -> requestShutdownAndWait(lifecycle, shutdownRequested, closed), "shutdown"));
+                .addShutdownHook(new Thread(() -> requestShutdownAndWait(lifecycle, shutdownRequested, closed), "end"));
         HangUpSignal.handle(lifecycle);
         try {
             lifecycle.start();
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/translation/UpstreamTranslation.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/translation/UpstreamTranslation.java
@@ -23,6 +23,6 @@
     /** Id of the request that an answer names as its own; empty if it names none. */
     Optional<String> answeredRequest(HttpFields head);
 
-    /** Whether a successful answer carries the mark of the upstream that proves its origin. */
+    /** Whether a successful answer carries the signature of the upstream. */
     boolean authentic(HttpFields head);
 }
