--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/BatchCaller.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/BatchCaller.java
@@ -42,7 +42,7 @@
 
     /** Sends a call; its end is reported by one event. */
     void call(BatchCall call) {
-        request(call.upstream(), translation.callPath(), translation.call(call))
+        request(call.upstream(), translation.callPath(), translation.encodeCall(call))
                 .timeout(call.timeout().toMillis(), TimeUnit.MILLISECONDS)
                 .send(new BufferingResponseListener(MAX_ANSWER_BYTES) {
                     @Override
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/translation/StageTranslation.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/translation/StageTranslation.java
@@ -12,7 +12,7 @@
     String callPath();
 
     /** Encodes the body of a call. */
-    byte[] call(BatchCall call);
+    byte[] encodeCall(BatchCall call);
 
     /** Decodes the answer to a call. */
     BatchCallEnd answer(BatchCall call, int status, HttpFields head, byte[] body);
