--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/BatchCaller.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/BatchCaller.java
@@ -57,7 +57,7 @@
             return new BatchCallEnd.Broken(FailureText.of(result.getFailure()));
         }
         byte[] body = content == null ? new byte[0] : content;
-        return translation.answer(
+        return translation.decodeAnswer(
                 call, result.getResponse().getStatus(), result.getResponse().getHeaders(), body);
     }
 
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/translation/StageTranslation.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/translation/StageTranslation.java
@@ -15,7 +15,7 @@
     byte[] encodeCall(BatchCall call);
 
     /** Decodes the answer to a call. */
-    BatchCallEnd answer(BatchCall call, int status, HttpFields head, byte[] body);
+    BatchCallEnd decodeAnswer(BatchCall call, int status, HttpFields head, byte[] body);
 
     /** Path of the requests that carry releases. */
     String releasePath();
