--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/BatchCaller.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/BatchCaller.java
@@ -63,7 +63,7 @@
 
     /** Tells a server that results are no longer needed; one event reports whether the server has confirmed it. */
     void release(ServingEffect.ReleaseResults release) {
-        request(release.maker(), translation.releasePath(), translation.release(release.handles()))
+        request(release.maker(), translation.releasePath(), translation.encodeRelease(release.handles()))
                 .timeout(RELEASE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
                 .send(result -> {
                     boolean confirmed =
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/translation/StageTranslation.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/translation/StageTranslation.java
@@ -21,7 +21,7 @@
     String releasePath();
 
     /** Encodes the body of a release. */
-    byte[] release(List<String> handles);
+    byte[] encodeRelease(List<String> handles);
 
     /**
      * Adds the intended upstream to the headers, so that another one at the same address does not execute the request.
