--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/BatchCaller.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/BatchCaller.java
@@ -84,7 +84,7 @@
         return client.newRequest(upstream.host(), upstream.port())
                 .method(HttpMethod.POST)
                 .path(path)
-                .headers(headers -> translation.expect(upstream, headers))
+                .headers(headers -> translation.addExpectedUpstream(upstream, headers))
                 .body(new BytesRequestContent(JSON, body));
     }
 }
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/translation/StageTranslation.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/translation/StageTranslation.java
@@ -26,5 +26,5 @@
     /**
      * Adds the intended upstream to the headers, so that another one at the same address does not execute the request.
      */
-    void expect(Listing upstream, HttpFields.Mutable out);
+    void addExpectedUpstream(Listing upstream, HttpFields.Mutable out);
 }
