--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/RoutedHandler.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/RoutedHandler.java
@@ -154,7 +154,7 @@
 
     private HttpFields refusalHeaders(Refusal refusal, Request request) {
         HttpFields.Mutable refusalHeaders = HttpFields.build();
-        translation.refuse(refusal, request.getHeaders(), refusalHeaders);
+        translation.addRefusalHeaders(refusal, request.getHeaders(), refusalHeaders);
         return refusalHeaders;
     }
 
@@ -165,7 +165,7 @@
 
     /** Refuses a request that has no exchange yet. */
     private void refuse(Refusal refusal, Request request, Response response, Callback callback) {
-        translation.refuse(refusal, request.getHeaders(), response.getHeaders());
+        translation.addRefusalHeaders(refusal, request.getHeaders(), response.getHeaders());
         connections.addCloseHeader(response);
         response.setStatus(refusal.code().status());
         response.getHeaders().put(HttpHeader.CONTENT_TYPE, RoutedExchange.REFUSAL_TYPE);
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/translation/CallerTranslation.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/translation/CallerTranslation.java
@@ -17,5 +17,5 @@
     Either<Refusal, RoutedRequest> read(String host, String path, HttpFields head);
 
     /** Adds the retry delay, and other headers that callers evaluate, to a refusal. */
-    void refuse(Refusal refusal, HttpFields head, HttpFields.Mutable out);
+    void addRefusalHeaders(Refusal refusal, HttpFields head, HttpFields.Mutable out);
 }
