--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/RoutedDaemon.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/RoutedDaemon.java
@@ -54,247 +54,292 @@
  * }</pre>
  */
 public final class RoutedDaemon implements ProcessRun.Lifecycle {
-private static final Logger LOGGER = System.getLogger ( RoutedDaemon.class.getName ( ) );
+    private static final Logger LOGGER = System.getLogger(RoutedDaemon.class.getName());
 
-/** Callbacks do not block; on a single core additional threads only use memory. */
-private static final int MAX_THREADS = 10;
+    /** Callbacks do not block; on a single core additional threads only use memory. */
+    private static final int MAX_THREADS = 10;
 
-private static final int SELECTORS = 1;
+    private static final int SELECTORS = 1;
 
-/** Network latency is a few milliseconds; a lost SYN packet is retransmitted only after a second. */
-private static final Duration CONNECT_TIMEOUT = Duration.ofMillis ( 400 );
+    /** Network latency is a few milliseconds; a lost SYN packet is retransmitted only after a second. */
+    private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(400);
 
-/**
+    /**
      * Upstreams close idle connections after seconds. Closing them here first avoids losing a request that is sent at
      * the moment when the upstream closes its connection.
      */
-private static final Duration UPSTREAM_IDLE_TIMEOUT = Duration.ofSeconds ( 2 );
+    private static final Duration UPSTREAM_IDLE_TIMEOUT = Duration.ofSeconds(2);
 
-/** The decision logic divides the connections of an upstream between the nodes; this limit is only a safeguard. */
-private static final int MAX_CONNECTIONS_PER_UPSTREAM = 64;
+    /** The decision logic divides the connections of an upstream between the nodes; this limit is only a safeguard. */
+    private static final int MAX_CONNECTIONS_PER_UPSTREAM = 64;
 
-private static final int MAX_QUEUED_PER_UPSTREAM = 256;
+    private static final int MAX_QUEUED_PER_UPSTREAM = 256;
 
-private static final int MAX_HEADER_BYTES = 16_384;
-private static final Duration MAX_LINK_SILENCE = Duration.ofSeconds ( 1 );
+    private static final int MAX_HEADER_BYTES = 16_384;
+    private static final Duration MAX_LINK_SILENCE = Duration.ofSeconds(1);
 
-/**
+    /**
      * Applies to connections that are idle when the ports close, those of the load balancer and of metrics included.
      */
-private static final Duration STOP_IDLE_TIMEOUT = Duration.ofMillis ( 50 );
+    private static final Duration STOP_IDLE_TIMEOUT = Duration.ofMillis(50);
 
-/** Upper limit of the time to close the ports after all answers are written. */
-private static final Duration MAX_STOP_TIMEOUT = Duration.ofMillis ( 200 );
+    /** Upper limit of the time to close the ports after all answers are written. */
+    private static final Duration MAX_STOP_TIMEOUT = Duration.ofMillis(200);
 
-/** The same limit as a fraction of a short shutdown grace. */
-private static final int STOP_GRACE_DIVISOR = 16;
+    /** The same limit as a fraction of a short shutdown grace. */
+    private static final int STOP_GRACE_DIVISOR = 16;
 
-private static final int OK = 200;
-private static final int SERVICE_UNAVAILABLE = 503;
+    private static final int OK = 200;
+    private static final int SERVICE_UNAVAILABLE = 503;
 
-private final Path file;
-private final RoutedSettings settings;
-private final MonotonicClock clock = new MonotonicClock ( );
-private final QueuedThreadPool threads = new QueuedThreadPool ( MAX_THREADS , 4 );
-private final RoutedExchanges exchanges = new RoutedExchanges ( );
-private final RoutedMetrics metrics = new RoutedMetrics ( );
-private final HttpClient pooledClient;
-private final HttpClient singleUseClient;
-private final Translation translation;
-private final ControlThread < Serving , ServingEvent , ServingEffect > control;
-private final NodeId self;
-private final Server server;
-private AsyncDecisionLog decisions;
-private PeerLink link;
-private final CallerConnections connections = new CallerConnections ( );
-private final AtomicReference < Instant > shutdownRequestedAt = new AtomicReference < > ( );
-private ServerConnector callers;
-private RoutedHandler handler;
-private RoutedEffects effects;
+    private final Path file;
+    private final RoutedSettings settings;
+    private final MonotonicClock clock = new MonotonicClock();
+    private final QueuedThreadPool threads = new QueuedThreadPool(MAX_THREADS, 4);
+    private final RoutedExchanges exchanges = new RoutedExchanges();
+    private final RoutedMetrics metrics = new RoutedMetrics();
+    private final HttpClient pooledClient;
+    private final HttpClient singleUseClient;
+    private final Translation translation;
+    private final ControlThread<Serving, ServingEvent, ServingEffect> control;
+    private final NodeId self;
+    private final Server server;
+    private AsyncDecisionLog decisions;
+    private PeerLink link;
+    private final CallerConnections connections = new CallerConnections();
+    private final AtomicReference<Instant> shutdownRequestedAt = new AtomicReference<>();
+    private ServerConnector callers;
+    private RoutedHandler handler;
+    private RoutedEffects effects;
 
-/**
+    /**
      * Creates a node; nothing runs before {@link #start}.
      *
      * @param file the file that the settings were read from
      * @param decoder decodes the records of feeds
      * @param translate creates the translation; receives the client to be used for requests to the store
      */
-public RoutedDaemon ( Path file , RoutedSettings settings , RecordDecoder decoder , Function < HttpClient , Translation > translate ) {
-this.file = file;
-this.settings = settings;
-threads.setName ( "traffic" );
-self = new NodeId ( settings.node ( ).vm ( ) , clock.now ( ).toEpochMilli ( ) );
-pooledClient = client ( );
-singleUseClient = client ( );
-translation = translate.apply ( pooledClient );
-ServingSetup.Builder setup = ServingSetup.builder ( self , settings.node ( ).domain ( ) , decoder ).retryLimits ( new ServingSetup.RetryLimits ( settings.retryLimits ( ).window ( ) , settings.retryLimits ( ).ratio ( ) , settings.retryLimits ( ).fixed ( ) ) ).drainGrace ( settings.shutdownGrace ( ) ).features ( settings.features ( ) ).capacity ( settings.capacity ( ) ).rolloutLimits ( settings.rolloutLimits ( ) ).coldBound ( new UpstreamLimits.ColdBound ( settings.coldBound ( ).ratio ( ) , settings.coldBound ( ).fixed ( ) ) );
-settings.seeds ( ).forEach ( setup :: seed );
-control = new ControlThread < > ( new Serving ( setup.build ( ) ) , Serving :: handle , new ServingEvent.Tick ( ) , clock , Serving :: tickInterval );
-server = new Server ( threads );
-}
+    public RoutedDaemon(
+            Path file, RoutedSettings settings, RecordDecoder decoder, Function<HttpClient, Translation> translate) {
+        this.file = file;
+        this.settings = settings;
+        threads.setName("traffic");
+        self = new NodeId(settings.node().vm(), clock.now().toEpochMilli());
+        pooledClient = client();
+        singleUseClient = client();
+        translation = translate.apply(pooledClient);
+        ServingSetup.Builder setup = ServingSetup.builder(self, settings.node().domain(), decoder)
+                .retryLimits(new ServingSetup.RetryLimits(
+                        settings.retryLimits().window(),
+                        settings.retryLimits().ratio(),
+                        settings.retryLimits().fixed()))
+                .drainGrace(settings.shutdownGrace())
+                .features(settings.features())
+                .capacity(settings.capacity())
+                .rolloutLimits(settings.rolloutLimits())
+                .coldBound(new UpstreamLimits.ColdBound(
+                        settings.coldBound().ratio(), settings.coldBound().fixed()));
+        settings.seeds().forEach(setup::seed);
+        control = new ControlThread<>(
+                new Serving(setup.build()), Serving::handle, new ServingEvent.Tick(), clock, Serving::tickInterval);
+        server = new Server(threads);
+    }
 
-private HttpClient client ( ) {
-HttpClientTransportOverHTTP transport = new HttpClientTransportOverHTTP ( new UpstreamConnector ( ) );
-transport.setInvocationType ( Invocable.InvocationType.NON_BLOCKING );
-HttpClient client = new HttpClient ( transport );
-client.setExecutor ( threads );
-client.setConnectTimeout ( CONNECT_TIMEOUT.toMillis ( ) );
-client.setIdleTimeout ( UPSTREAM_IDLE_TIMEOUT.toMillis ( ) );
-client.setMaxConnectionsPerDestination ( MAX_CONNECTIONS_PER_UPSTREAM );
-client.setMaxRequestsQueuedPerDestination ( MAX_QUEUED_PER_UPSTREAM );
-client.setFollowRedirects ( false );
-client.setUserAgentField ( null );
-return client;
-}
+    private HttpClient client() {
+        HttpClientTransportOverHTTP transport = new HttpClientTransportOverHTTP(new UpstreamConnector());
+        transport.setInvocationType(Invocable.InvocationType.NON_BLOCKING);
+        HttpClient client = new HttpClient(transport);
+        client.setExecutor(threads);
+        client.setConnectTimeout(CONNECT_TIMEOUT.toMillis());
+        client.setIdleTimeout(UPSTREAM_IDLE_TIMEOUT.toMillis());
+        client.setMaxConnectionsPerDestination(MAX_CONNECTIONS_PER_UPSTREAM);
+        client.setMaxRequestsQueuedPerDestination(MAX_QUEUED_PER_UPSTREAM);
+        client.setFollowRedirects(false);
+        client.setUserAgentField(null);
+        return client;
+    }
 
-/** Starts all components; on return, all ports accept connections. */
-@Override public void start ( ) throws Exception {
-threads.start ( );
-start ( pooledClient );
-start ( singleUseClient );
-decisions = new AsyncDecisionLog ( );
-handler = new RoutedHandler ( translation.callers ( ) , exchanges , connections , control :: submit );
-link = openLink ( );
-effects = new RoutedEffects ( new RoutedEffects.Parts ( exchanges , handler , ( ) -> connections.closeIdle ( callers ) , new UpstreamCaller ( pooledClient , singleUseClient , translation.upstreams ( ) , exchanges , control :: submit , clock :: now ) , new BatchCaller ( pooledClient , translation.stages ( ) , control :: submit ) , translation , link , settings.listeners ( ).link ( ).port ( ) , settings.node ( ).domain ( ) , control :: submit , decisions , metrics , clock :: now ) );
-control.start ( effects );
-listen ( );
-LOGGER.log ( Level.INFO , "node {0} accepts connections" , settings.node ( ).name ( ) );
-}
+    /** Starts all components; on return, all ports accept connections. */
+    @Override
+    public void start() throws Exception {
+        threads.start();
+        start(pooledClient);
+        start(singleUseClient);
+        decisions = new AsyncDecisionLog();
+        handler = new RoutedHandler(translation.callers(), exchanges, connections, control::submit);
+        link = openLink();
+        effects = new RoutedEffects(new RoutedEffects.Parts(
+                exchanges,
+                handler,
+                () -> connections.closeIdle(callers),
+                new UpstreamCaller(
+                        pooledClient, singleUseClient, translation.upstreams(), exchanges, control::submit, clock::now),
+                new BatchCaller(pooledClient, translation.stages(), control::submit),
+                translation,
+                link,
+                settings.listeners().link().port(),
+                settings.node().domain(),
+                control::submit,
+                decisions,
+                metrics,
+                clock::now));
+        control.start(effects);
+        listen();
+        LOGGER.log(Level.INFO, "node {0} accepts connections", settings.node().name());
+    }
 
-/**
+    /**
      * Answers are forwarded unchanged: the client must not follow redirects, decode content or handle protocol
      * responses itself.
      */
-private static void start ( HttpClient client ) throws Exception {
-client.start ( );
-client.getContentDecoderFactories ( ).clear ( );
-client.getProtocolHandlers ( ).clear ( );
-}
+    private static void start(HttpClient client) throws Exception {
+        client.start();
+        client.getContentDecoderFactories().clear();
+        client.getProtocolHandlers().clear();
+    }
 
-private PeerLink openLink ( ) {
-return PeerLink.builder ( self ).bind ( settings.listeners ( ).link ( ).host ( ) , settings.listeners ( ).link ( ).port ( ) ).acknowledgementTimeout ( MAX_LINK_SILENCE ).observer ( new LinkObserver ( ) {
-@Override public void connected ( VmId peer ) {
-control.submit ( new ServingEvent.PeerConnected ( peer ) );
-}
+    private PeerLink openLink() {
+        return PeerLink.builder(self)
+                .bind(
+                        settings.listeners().link().host(),
+                        settings.listeners().link().port())
+                .acknowledgementTimeout(MAX_LINK_SILENCE)
+                .observer(new LinkObserver() {
+                    @Override
+                    public void connected(VmId peer) {
+                        control.submit(new ServingEvent.PeerConnected(peer));
+                    }
 
-@Override public void disconnected ( VmId peer ) {
-control.submit ( new ServingEvent.PeerDisconnected ( peer ) );
-}
-}
-).handler ( ( sender , message ) -> {
-if ( message instanceof ServingMessage serving ) {
-control.submit ( new ServingEvent.PeerMessageReceived ( sender , serving ) );
-}
-}
-).open ( ).get ( );
-}
+                    @Override
+                    public void disconnected(VmId peer) {
+                        control.submit(new ServingEvent.PeerDisconnected(peer));
+                    }
+                })
+                .handler((sender, message) -> {
+                    if (message instanceof ServingMessage serving) {
+                        control.submit(new ServingEvent.PeerMessageReceived(sender, serving));
+                    }
+                })
+                .open()
+                .get();
+    }
 
-private void listen ( ) throws Exception {
-callers = connector ( settings.listeners ( ).callers ( ) );
-ServerConnector readiness = connector ( settings.listeners ( ).readiness ( ) );
-ServerConnector administration = connector ( settings.listeners ( ).administration ( ) );
-server.addConnector ( callers );
-server.addConnector ( readiness );
-server.addConnector ( administration );
-server.setStopTimeout ( stopTimeout ( ).toMillis ( ) );
-server.setHandler ( new Handler.Abstract.NonBlocking ( ) {
-@Override public boolean handle ( Request request , Response response , Callback callback ) {
-Object connector = request.getConnectionMetaData ( ).getConnector ( );
-if ( connector == callers ) {
-return handler.handle ( request , response , callback );
-}
-return connector == readiness ? readiness ( response , callback ) : metrics ( response , callback );
-}
-}
-);
-server.start ( );
-}
+    private void listen() throws Exception {
+        callers = connector(settings.listeners().callers());
+        ServerConnector readiness = connector(settings.listeners().readiness());
+        ServerConnector administration = connector(settings.listeners().administration());
+        server.addConnector(callers);
+        server.addConnector(readiness);
+        server.addConnector(administration);
+        server.setStopTimeout(stopTimeout().toMillis());
+        server.setHandler(new Handler.Abstract.NonBlocking() {
+            @Override
+            public boolean handle(Request request, Response response, Callback callback) {
+                Object connector = request.getConnectionMetaData().getConnector();
+                if (connector == callers) {
+                    return handler.handle(request, response, callback);
+                }
+                return connector == readiness ? readiness(response, callback) : metrics(response, callback);
+            }
+        });
+        server.start();
+    }
 
-private boolean readiness ( Response response , Callback callback ) {
-response.setStatus ( effects.ready ( ) ? OK : SERVICE_UNAVAILABLE );
-response.write ( true , null , callback );
-return true;
-}
+    private boolean readiness(Response response, Callback callback) {
+        response.setStatus(effects.ready() ? OK : SERVICE_UNAVAILABLE);
+        response.write(true, null, callback);
+        return true;
+    }
 
-private boolean metrics ( Response response , Callback callback ) {
-response.getHeaders ( ).put ( HttpHeader.CONTENT_TYPE , "text/plain" );
-byte [ ] text = metrics.text ( ).getBytes ( StandardCharsets.UTF_8 );
-response.write ( true , ByteBuffer.wrap ( text ) , callback );
-return true;
-}
+    private boolean metrics(Response response, Callback callback) {
+        response.getHeaders().put(HttpHeader.CONTENT_TYPE, "text/plain");
+        byte[] text = metrics.text().getBytes(StandardCharsets.UTF_8);
+        response.write(true, ByteBuffer.wrap(text), callback);
+        return true;
+    }
 
-private ServerConnector connector ( RoutedSettings.Address address ) {
-HttpConfiguration http = new HttpConfiguration ( );
-http.setSendServerVersion ( false );
-http.setSendDateHeader ( false );
-http.setRequestHeaderSize ( MAX_HEADER_BYTES );
-ServerConnector connector = new ServerConnector ( server , null , null , null , 0 , SELECTORS , new HttpConnectionFactory ( http ) );
-connector.setHost ( address.host ( ) );
-connector.setPort ( address.port ( ) );
-connector.setIdleTimeout ( CallerConnections.IDLE_TIMEOUT.toMillis ( ) );
-connector.setShutdownIdleTimeout ( STOP_IDLE_TIMEOUT.toMillis ( ) );
-return connector;
-}
+    private ServerConnector connector(RoutedSettings.Address address) {
+        HttpConfiguration http = new HttpConfiguration();
+        http.setSendServerVersion(false);
+        http.setSendDateHeader(false);
+        http.setRequestHeaderSize(MAX_HEADER_BYTES);
+        ServerConnector connector =
+                new ServerConnector(server, null, null, null, 0, SELECTORS, new HttpConnectionFactory(http));
+        connector.setHost(address.host());
+        connector.setPort(address.port());
+        connector.setIdleTimeout(CallerConnections.IDLE_TIMEOUT.toMillis());
+        connector.setShutdownIdleTimeout(STOP_IDLE_TIMEOUT.toMillis());
+        return connector;
+    }
 
-/** Starts the shutdown grace period. */
-@Override public void onShutdownRequested ( ) {
-shutdownRequestedAt.compareAndSet ( null , clock.now ( ) );
-}
+    /** Starts the shutdown grace period. */
+    @Override
+    public void onShutdownRequested() {
+        shutdownRequestedAt.compareAndSet(null, clock.now());
+    }
 
-private Duration stopTimeout ( ) {
-Duration fraction = settings.shutdownGrace ( ).dividedBy ( STOP_GRACE_DIVISOR );
-return fraction.compareTo ( MAX_STOP_TIMEOUT ) < 0 ? fraction : MAX_STOP_TIMEOUT;
-}
+    private Duration stopTimeout() {
+        Duration fraction = settings.shutdownGrace().dividedBy(STOP_GRACE_DIVISOR);
+        return fraction.compareTo(MAX_STOP_TIMEOUT) < 0 ? fraction : MAX_STOP_TIMEOUT;
+    }
 
-/**
+    /**
      * Shuts down gracefully. On return, all accepted requests are answered and the answers written, or the grace period
      * is over. While a slow caller still reads its answer, new requests that fit into the remaining time are served.
      */
-@Override public void drain ( ) throws InterruptedException {
-LOGGER.log ( Level.INFO , "node {0} is shutting down" , settings.node ( ).name ( ) );
-onShutdownRequested ( );
-Instant graceEnd = shutdownRequestedAt.get ( ).plus ( settings.shutdownGrace ( ) );
-connections.closeAfterAnswers ( );
-control.submit ( new ServingEvent.DrainStarted ( shutdownRequestedAt.get ( ) ) );
-boolean drained = effects.drained ( ).await ( millisUntil ( graceEnd ) , TimeUnit.MILLISECONDS );
-Instant stopAt = graceEnd.minus ( stopTimeout ( ) );
-connections.awaitWritten ( millisUntil ( stopAt.minus ( stopTimeout ( ) ) ) );
-control.submit ( new ServingEvent.PortsClosing ( ) );
-handler.refuseIncomplete ( );
-boolean answersWritten = connections.awaitWritten ( millisUntil ( stopAt ) );
-if ( ! drained || ! answersWritten ) {
-LOGGER.log ( Level.WARNING , "node {0} did not finish all requests within the shutdown grace" , settings.node ( ).name ( ) );
-}
-}
+    @Override
+    public void drain() throws InterruptedException {
+        LOGGER.log(Level.INFO, "node {0} is shutting down", settings.node().name());
+        onShutdownRequested();
+        Instant graceEnd = shutdownRequestedAt.get().plus(settings.shutdownGrace());
+        connections.closeAfterAnswers();
+        control.submit(new ServingEvent.DrainStarted(shutdownRequestedAt.get()));
+        boolean drained = effects.drained().await(millisUntil(graceEnd), TimeUnit.MILLISECONDS);
+        Instant stopAt = graceEnd.minus(stopTimeout());
+        connections.awaitWritten(millisUntil(stopAt.minus(stopTimeout())));
+        control.submit(new ServingEvent.PortsClosing());
+        handler.refuseIncomplete();
+        boolean answersWritten = connections.awaitWritten(millisUntil(stopAt));
+        if (!drained || !answersWritten) {
+            LOGGER.log(
+                    Level.WARNING,
+                    "node {0} did not finish all requests within the shutdown grace",
+                    settings.node().name());
+        }
+    }
 
-private long millisUntil ( Instant until ) {
-return Math.max ( 0 , Duration.between ( clock.now ( ) , until ).toMillis ( ) );
-}
+    private long millisUntil(Instant until) {
+        return Math.max(0, Duration.between(clock.now(), until).toMillis());
+    }
 
-/** Logs whether the settings file differs from the settings of this process. Changes take effect at a restart. */
-@Override public void reload ( ) {
-Either < List < SettingsProblem > , RoutedSettings > loaded = RoutedSettings.load ( file );
-if ( loaded.isLeft ( ) ) {
-LOGGER.log ( Level.ERROR , "reload: the settings file is invalid, the running settings stay in force: {0}" , loaded.getLeft ( ) );
-return;
-}
-String outcome = loaded.get ( ).equals ( settings ) ? "no changes" : "changes take effect at the next start";
-LOGGER.log ( Level.INFO , "reload: {0}" , outcome );
-}
+    /** Logs whether the settings file differs from the settings of this process. Changes take effect at a restart. */
+    @Override
+    public void reload() {
+        Either<List<SettingsProblem>, RoutedSettings> loaded = RoutedSettings.load(file);
+        if (loaded.isLeft()) {
+            LOGGER.log(
+                    Level.ERROR,
+                    "reload: the settings file is invalid, the running settings stay in force: {0}",
+                    loaded.getLeft());
+            return;
+        }
+        String outcome = loaded.get().equals(settings) ? "no changes" : "changes take effect at the next start";
+        LOGGER.log(Level.INFO, "reload: {0}", outcome);
+    }
 
-/** Closes all ports and stops all threads. */
-@Override public void stop ( ) throws Exception {
-try {
-server.stop ( );
-}
-catch ( TimeoutException timeout ) {
-LOGGER.log ( Level.WARNING , "connections were still open when the ports were closed: {0}" , timeout );
-}
-pooledClient.stop ( );
-singleUseClient.stop ( );
-link.close ( );
-control.close ( );
-decisions.close ( );
-threads.stop ( );
-}
+    /** Closes all ports and stops all threads. */
+    @Override
+    public void stop() throws Exception {
+        try {
+            server.stop();
+        } catch (TimeoutException timeout) {
+            LOGGER.log(Level.WARNING, "connections were still open when the ports were closed: {0}", timeout);
+        }
+        pooledClient.stop();
+        singleUseClient.stop();
+        link.close();
+        control.close();
+        decisions.close();
+        threads.stop();
+    }
 }
