--- a/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchCall.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchCall.java
@@ -11,7 +11,7 @@
  *
  * @param number unique during the lifetime of the node's process
  * @param upstream the server
- * @param items the pieces to compute, in order
+ * @param items the items to compute, in order
  * @param timeout how long to wait for the answer
  */
 public record BatchCall(long number, Listing upstream, List<Item> items, Duration timeout) {
@@ -21,15 +21,15 @@
     }
 
     /**
-     * One piece of a step.
+     * One item of a step.
      *
      * @param request the request that needs it
      * @param step the number of the step
-     * @param piece its number, from 0
+     * @param number its number, from 0
      * @param timeLeft the time left until the request's deadline
      * @param key the key that a step without inputs works on
      * @param inputs the handles of its input results
      */
     public record Item(
-            RequestId request, int step, int piece, Duration timeLeft, Optional<String> key, List<String> inputs) {}
+            RequestId request, int step, int number, Duration timeLeft, Optional<String> key, List<String> inputs) {}
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchCallEnd.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchCallEnd.java
@@ -9,7 +9,7 @@
      *
      * @param answers one for each item, in order
      */
-    record Answered(List<PieceAnswer> answers) implements BatchCallEnd {}
+    record Answered(List<ItemAnswer> answers) implements BatchCallEnd {}
 
     /** The server refused the call without running it. */
     record NotRun() implements BatchCallEnd {}
@@ -21,25 +21,25 @@
      */
     record Broken(String reason) implements BatchCallEnd {}
 
-    /** The outcome of one piece. */
-    sealed interface PieceAnswer {
+    /** The outcome of one item. */
+    sealed interface ItemAnswer {
         /**
-         * The piece was computed.
+         * The item was computed.
          *
          * @param handle the server's name for the result
          */
-        record Made(String handle) implements PieceAnswer {}
+        record Made(String handle) implements ItemAnswer {}
 
         /** The deadline had passed before the server started it. */
-        record Late() implements PieceAnswer {}
+        record Late() implements ItemAnswer {}
 
         /** An input result no longer exists. */
-        record InputsGone() implements PieceAnswer {}
+        record InputsGone() implements ItemAnswer {}
 
         /** The server has no capacity to store its result. */
-        record NoRoom() implements PieceAnswer {}
+        record NoRoom() implements ItemAnswer {}
 
         /** The server failed to compute it. */
-        record Failed() implements PieceAnswer {}
+        record Failed() implements ItemAnswer {}
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchOrder.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchOrder.java
@@ -8,16 +8,16 @@
 import org.wagtaillug.id.RequestId;
 
 /**
- * An order for all pieces of one step of one request.
+ * An order for all items of one step of one request.
  *
  * @param id identifies the order
- * @param request the request that needs the pieces
+ * @param request the request that needs the items
  * @param step the number of the step in its route
- * @param pool the pool whose servers compute the pieces
- * @param pieces the number of pieces, which are numbered from 0
+ * @param pool the pool whose servers compute the items
+ * @param items the number of items, which are numbered from 0
  * @param key the key that a step without inputs works on; empty for one with inputs
- * @param inputs the handles of the results that each piece takes as input
- * @param resultBytes the approximate size of the result of one piece
+ * @param inputs the handles of the results that each item takes as input
+ * @param resultBytes the approximate size of the result of one item
  * @param near the failure domain that holds most of its inputs; empty if it has none
  * @param urgency its scheduling priority
  */
@@ -26,7 +26,7 @@
         RequestId request,
         int step,
         PoolId pool,
-        int pieces,
+        int items,
         Optional<String> key,
         List<String> inputs,
         long resultBytes,
@@ -41,8 +41,8 @@
      * The scheduling priority of an order.
      *
      * @param rank the priority class; 0 is served first
-     * @param targetTime the latency target: pieces finished by then let the request earn its full worth
-     * @param deadline pieces finished later are useless
+     * @param targetTime the latency target: items finished by then let the request earn its full worth
+     * @param deadline items finished later are useless
      */
     public record Urgency(int rank, Instant targetTime, Instant deadline) {}
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchOutcome.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchOutcome.java
@@ -6,9 +6,9 @@
 /** The outcome of an order. */
 public sealed interface BatchOutcome {
     /**
-     * All pieces were computed.
+     * All items were computed.
      *
-     * @param results the results, indexed by the number of the piece
+     * @param results the results, indexed by the number of the item
      */
     record Made(List<StepResult> results) implements BatchOutcome {
         /** Makes a defensive copy of the list. */
--- a/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchScheduler.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchScheduler.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.wagtaillug.batch.BatchCallEnd.PieceAnswer;
+import org.wagtaillug.batch.BatchCallEnd.ItemAnswer;
 import org.wagtaillug.directory.Upstream;
 import org.wagtaillug.directory.UpstreamDirectory;
 import org.wagtaillug.id.DomainId;
@@ -31,13 +31,13 @@
  * goes into the next one.
  */
 public final class BatchScheduler {
-    /** How long a piece may wait past its latency target before its order is abandoned. */
+    /** How long an item may wait past its latency target before its order is abandoned. */
     public static final Duration LATE_GRACE = BatchQueue.LATE_GRACE;
 
     /** Retention of outcomes for nodes that resend an order after a lost reply. */
     private static final Duration OUTCOME_RETENTION = Duration.ofSeconds(5);
 
-    /** Failed calls per piece of an order before the order fails. */
+    /** Failed calls per item of an order before the order fails. */
     private static final int MAX_CALL_FAILURES = 2;
 
     /** Timeout of a call as a multiple of its expected duration, for servers that have turned slow. */
@@ -86,7 +86,7 @@
     private record PublishedOutcome(BatchOutcome outcome, Instant at) {}
 
     private record ActiveCall(
-            BatchCall call, List<BatchQueue.QueuedPiece> pieces, StageServer server, Instant startedAt) {
+            BatchCall call, List<BatchQueue.QueuedItem> items, StageServer server, Instant startedAt) {
         PoolId pool() {
             return call.upstream().pool();
         }
@@ -130,8 +130,8 @@
         }
         orders.put(order.id(), state);
         BatchQueue queue = queues.computeIfAbsent(order.pool(), pool -> new BatchQueue(features));
-        for (int piece = 0; piece < order.pieces(); piece++) {
-            queue.add(new BatchQueue.QueuedPiece(state, piece, now));
+        for (int item = 0; item < order.items(); item++) {
+            queue.add(new BatchQueue.QueuedItem(state, item, now));
         }
         dispatch(order.pool(), now);
     }
@@ -149,7 +149,7 @@
         Duration wait = features.uses(PolicyFeature.EARLY_REFUSAL)
                 ? expectedWait(order.pool(), order.urgency().rank(), usable, now)
                 : Duration.ZERO;
-        Instant finishedAt = now.plus(wait).plus(contract.callOf(Math.min(order.pieces(), contract.batch())));
+        Instant finishedAt = now.plus(wait).plus(contract.callOf(Math.min(order.items(), contract.batch())));
         Instant overdue = order.urgency().targetTime().plus(LATE_GRACE);
         // A retry that arrives after its latency target must not be refused for that reason while the pool is idle.
         boolean withinGrace = wait.isZero() || !finishedAt.isAfter(overdue);
@@ -160,7 +160,7 @@
         return Optional.of(new BatchOutcome.NotMade(BatchOutcome.Reason.OVERLOADED, retryAfter));
     }
 
-    /** Estimates how long pieces that are served before a rank keep the pool busy, including later ones of lower ranks. */
+    /** Estimates how long items that are served before a rank keep the pool busy, including later ones of lower ranks. */
     private Duration expectedWait(PoolId pool, int rank, List<StageServer> usable, Instant now) {
         BatchQueue queue = queues.get(pool);
         if (queue == null || queue.isEmpty()) {
@@ -168,11 +168,11 @@
         }
         BatchContract contract = contracts.get(pool);
         boolean observed = features.uses(PolicyFeature.OBSERVED_WAIT);
-        double pieces = contract.batch() * (observed ? throughput(pool).fillRatio() : 1);
-        double seconds = contract.callOf((int) Math.ceil(pieces)).toNanos() / NANOS_PER_SECOND;
+        double items = contract.batch() * (observed ? throughput(pool).fillRatio() : 1);
+        double seconds = contract.callOf((int) Math.ceil(items)).toNanos() / NANOS_PER_SECOND;
         double poolRate = 0;
         for (StageServer server : usable) {
-            poolRate += contract.slots() * pieces / (seconds * Math.max(1, server.slowness()));
+            poolRate += contract.slots() * items / (seconds * Math.max(1, server.slowness()));
         }
         double higherPriorityRate = observed ? throughput(pool).rateBelow(rank, now) : 0;
         double availableRate = Math.max(poolRate - higherPriorityRate, poolRate * MIN_SHARE);
@@ -213,13 +213,13 @@
     }
 
     /**
-     * Removes an order if none of its pieces is finished or in progress, as if it had never arrived.
+     * Removes an order if none of its items is finished or in progress, as if it had never arrived.
      *
      * @return whether the order was removed
      */
     public boolean withdrawIfUnstarted(OrderId id) {
         OrderState state = orders.get(id);
-        if (state == null || !queues.get(state.order().pool()).containsAllPiecesOf(state)) {
+        if (state == null || !queues.get(state.order().pool()).containsAllItemsOf(state)) {
             return false;
         }
         orders.remove(id);
@@ -287,8 +287,8 @@
 
     /**
      * Whether a slow server should get a call. A server that has become several times slower than the others would delay the
-     * pieces of a call past their latency target although another server could take them next. It gets work only while more
-     * pieces are queued than the fastest server completes during one of its calls.
+     * items of a call past their latency target although another server could take them next. It gets work only while more
+     * items are queued than the fastest server completes during one of its calls.
      */
     private static boolean shouldUse(
             StageServer server, List<StageServer> usable, BatchQueue queue, BatchContract contract) {
@@ -303,37 +303,37 @@
     private boolean startCall(
             StageServer server, Set<DomainId> domains, BatchQueue queue, BatchContract contract, Instant now) {
         long freeCapacity = server.freeCapacity(contract, now);
-        List<BatchQueue.QueuedPiece> pieces = queue.takeForCall(
+        List<BatchQueue.QueuedItem> queuedItems = queue.takeForCall(
                 contract.batch(), freeCapacity, server.listing().domain(), domains, now);
-        if (pieces.isEmpty()) {
+        if (queuedItems.isEmpty()) {
             return false;
         }
         long bytes = 0;
         List<BatchCall.Item> items = new ArrayList<>();
-        for (BatchQueue.QueuedPiece piece : pieces) {
-            BatchOrder order = piece.order();
+        for (BatchQueue.QueuedItem item : queuedItems) {
+            BatchOrder order = item.order();
             bytes += order.resultBytes();
             Duration timeLeft = Duration.between(now, order.urgency().deadline());
             items.add(new BatchCall.Item(
-                    order.request(), order.step(), piece.piece(), timeLeft, order.key(), order.inputs()));
+                    order.request(), order.step(), item.number(), timeLeft, order.key(), order.inputs()));
         }
         server.results().reserve(bytes);
         server.onCallStarted();
         gate.onCall(server.listing());
-        throughput(server.listing().pool()).onCall(pieces.size(), contract.batch(), !queue.isEmpty());
+        throughput(server.listing().pool()).onCall(queuedItems.size(), contract.batch(), !queue.isEmpty());
         lastCallNumber++;
-        Duration timeout = contract.callOf(pieces.size()).multipliedBy(CALL_TIMEOUT_FACTOR);
+        Duration timeout = contract.callOf(queuedItems.size()).multipliedBy(CALL_TIMEOUT_FACTOR);
         BatchCall call = new BatchCall(lastCallNumber, server.listing(), items, timeout);
-        calls.put(lastCallNumber, new ActiveCall(call, pieces, server, now));
+        calls.put(lastCallNumber, new ActiveCall(call, queuedItems, server, now));
         output.call(call);
         output.logDecision(Decision.builder("piece_call")
                 .field("call", lastCallNumber)
                 .field("upstream", server.listing().id())
                 .field("pool", server.listing().pool())
-                .field("pieces", pieces.size())
+                .field("pieces", queuedItems.size())
                 .field("most", contract.batch())
-                .field("longest_wait_ms", longestWait(pieces, now).toMillis())
-                .field("first_request", pieces.getFirst().order().request())
+                .field("longest_wait_ms", longestWait(queuedItems, now).toMillis())
+                .field("first_request", queuedItems.getFirst().order().request())
                 .field("still_waiting", queue.size())
                 .field("room_bytes", freeCapacity)
                 .field("room_of", contract.resultCapacityBytes())
@@ -341,10 +341,10 @@
         return true;
     }
 
-    private static Duration longestWait(List<BatchQueue.QueuedPiece> pieces, Instant now) {
+    private static Duration longestWait(List<BatchQueue.QueuedItem> items, Instant now) {
         Instant earliest = now;
-        for (BatchQueue.QueuedPiece piece : pieces) {
-            earliest = piece.since().isBefore(earliest) ? piece.since() : earliest;
+        for (BatchQueue.QueuedItem item : items) {
+            earliest = item.since().isBefore(earliest) ? item.since() : earliest;
         }
         return Duration.between(earliest, now);
     }
@@ -355,23 +355,23 @@
         if (activeCall == null) {
             return;
         }
-        for (BatchQueue.QueuedPiece piece : activeCall.pieces()) {
-            activeCall.server().results().unreserve(piece.order().resultBytes());
+        for (BatchQueue.QueuedItem item : activeCall.items()) {
+            activeCall.server().results().unreserve(item.order().resultBytes());
         }
         switch (end) {
             case BatchCallEnd.Answered answered -> onAnswered(activeCall, answered.answers(), now);
             case BatchCallEnd.NotRun ignored -> {
                 activeCall.server().onCallRefused(now);
-                activeCall.pieces().forEach(this::requeue);
+                activeCall.items().forEach(this::requeue);
             }
             case BatchCallEnd.Broken broken -> onBroken(activeCall, broken.reason(), now);
         }
         dispatch(activeCall.pool(), now);
     }
 
-    private void requeue(BatchQueue.QueuedPiece piece) {
-        if (!piece.state().ended()) {
-            queues.get(piece.order().pool()).add(piece);
+    private void requeue(BatchQueue.QueuedItem item) {
+        if (!item.state().ended()) {
+            queues.get(item.order().pool()).add(item);
         }
     }
 
@@ -385,72 +385,72 @@
         output.logDecision(Decision.builder("piece_call_broken")
                 .field("call", activeCall.call().number())
                 .field("upstream", activeCall.call().upstream().id())
-                .field("pieces", activeCall.pieces().size())
+                .field("pieces", activeCall.items().size())
                 .field("reason", reason)
                 .build());
-        for (BatchQueue.QueuedPiece piece : activeCall.pieces()) {
-            retry(piece, now);
+        for (BatchQueue.QueuedItem item : activeCall.items()) {
+            retry(item, now);
         }
     }
 
-    /** Queues a piece again after a failed call, unless its order has reached the retry limit. */
-    private void retry(BatchQueue.QueuedPiece piece, Instant now) {
-        if (piece.state().ended()) {
+    /** Queues an item again after a failed call, unless its order has reached the retry limit. */
+    private void retry(BatchQueue.QueuedItem item, Instant now) {
+        if (item.state().ended()) {
             return;
         }
-        if (piece.state().recordFailure() > MAX_CALL_FAILURES * piece.order().pieces()) {
-            fail(piece.state(), BatchOutcome.Reason.FAILED, now);
+        if (item.state().recordFailure() > MAX_CALL_FAILURES * item.order().items()) {
+            fail(item.state(), BatchOutcome.Reason.FAILED, now);
             return;
         }
-        requeue(piece);
+        requeue(item);
     }
 
-    private void onAnswered(ActiveCall activeCall, List<PieceAnswer> answers, Instant now) {
+    private void onAnswered(ActiveCall activeCall, List<ItemAnswer> answers, Instant now) {
         Duration took = Duration.between(activeCall.startedAt(), now);
         activeCall.server().onCallAnswered(took, expected(activeCall));
-        boolean anyFailed = answers.stream().anyMatch(PieceAnswer.Failed.class::isInstance);
+        boolean anyFailed = answers.stream().anyMatch(ItemAnswer.Failed.class::isInstance);
         gate.onCallEnded(activeCall.server().listing(), anyFailed, took, expected(activeCall));
-        for (int place = 0; place < activeCall.pieces().size(); place++) {
-            BatchQueue.QueuedPiece piece = activeCall.pieces().get(place);
-            PieceAnswer answer = place < answers.size() ? answers.get(place) : new PieceAnswer.Failed();
-            if (!(answer instanceof PieceAnswer.Made)) {
-                logNotMade(activeCall, piece, answer, now);
+        for (int place = 0; place < activeCall.items().size(); place++) {
+            BatchQueue.QueuedItem item = activeCall.items().get(place);
+            ItemAnswer answer = place < answers.size() ? answers.get(place) : new ItemAnswer.Failed();
+            if (!(answer instanceof ItemAnswer.Made)) {
+                logNotMade(activeCall, item, answer, now);
             }
             switch (answer) {
-                case PieceAnswer.Made made -> onMade(activeCall, piece, made.handle(), now);
-                case PieceAnswer.Late ignored -> fail(piece.state(), BatchOutcome.Reason.LATE, now);
-                case PieceAnswer.InputsGone ignored -> fail(piece.state(), BatchOutcome.Reason.INPUTS_GONE, now);
-                case PieceAnswer.NoRoom ignored -> {
+                case ItemAnswer.Made made -> onMade(activeCall, item, made.handle(), now);
+                case ItemAnswer.Late ignored -> fail(item.state(), BatchOutcome.Reason.LATE, now);
+                case ItemAnswer.InputsGone ignored -> fail(item.state(), BatchOutcome.Reason.INPUTS_GONE, now);
+                case ItemAnswer.NoRoom ignored -> {
                     long bytes = features.uses(PolicyFeature.ROOM_BY_SIZE)
-                            ? piece.order().resultBytes()
+                            ? item.order().resultBytes()
                             : 1;
                     activeCall.server().onNoCapacity(bytes, now);
-                    retry(piece, now);
+                    retry(item, now);
                 }
-                case PieceAnswer.Failed ignored -> retry(piece, now);
+                case ItemAnswer.Failed ignored -> retry(item, now);
             }
         }
     }
 
     private static Duration expected(ActiveCall activeCall) {
-        BatchContract contract = activeCall.pieces().getFirst().state().contract();
-        return contract.callOf(activeCall.pieces().size());
+        BatchContract contract = activeCall.items().getFirst().state().contract();
+        return contract.callOf(activeCall.items().size());
     }
 
-    private void logNotMade(ActiveCall activeCall, BatchQueue.QueuedPiece piece, PieceAnswer answer, Instant now) {
+    private void logNotMade(ActiveCall activeCall, BatchQueue.QueuedItem item, ItemAnswer answer, Instant now) {
         output.logDecision(Decision.builder("piece_not_made")
-                .field("request", piece.order().request())
-                .field("step", piece.order().step())
-                .field("piece", piece.piece())
+                .field("request", item.order().request())
+                .field("step", item.order().step())
+                .field("piece", item.number())
                 .field("call", activeCall.call().number())
                 .field("upstream", activeCall.call().upstream().id())
                 .field("answer", answer.getClass().getSimpleName())
-                .field("waited_ms", Duration.between(piece.since(), now).toMillis())
+                .field("waited_ms", Duration.between(item.since(), now).toMillis())
                 .build());
     }
 
-    private void onMade(ActiveCall activeCall, BatchQueue.QueuedPiece piece, String handle, Instant now) {
-        OrderState state = piece.state();
+    private void onMade(ActiveCall activeCall, BatchQueue.QueuedItem item, String handle, Instant now) {
+        OrderState state = item.state();
         StepResult result = new StepResult(handle, activeCall.call().upstream().id());
         Duration lifetime = state.contract().resultLifetime();
         activeCall.server().results().add(handle, state.order().resultBytes(), now, lifetime);
@@ -459,7 +459,7 @@
             queueReleases(List.of(result));
             return;
         }
-        if (state.recordResult(piece.piece(), result)) {
+        if (state.recordResult(item.number(), result)) {
             publishOutcome(state, new BatchOutcome.Made(state.results()), now);
         }
     }
@@ -550,7 +550,7 @@
         }
     }
 
-    /** The number of pieces that are queued for a pool, for the metrics. */
+    /** The number of items that are queued for a pool, for the metrics. */
     public int waiting(PoolId pool) {
         BatchQueue queue = queues.get(pool);
         return queue == null ? 0 : queue.size();
--- a/wagtaillug-core/src/main/java/org/wagtaillug/batch/HeldResults.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/batch/HeldResults.java
@@ -9,8 +9,8 @@
 /**
  * Tracks one server's result storage: the results that it holds and the space reserved by calls in progress.
  *
- * <p>If the results of a call exceed the server's capacity, the affected pieces fail after their time has been spent, so a
- * piece is sent only if its result fits by this account. The server is not asked for its actual usage, because such a request
+ * <p>If the results of a call exceed the server's capacity, the affected items fail after their time has been spent, so an
+ * item is sent only if its result fits by this account. The server is not asked for its actual usage, because such a request
  * costs as much as a health check.
  */
 final class HeldResults {
--- a/wagtaillug-core/src/main/java/org/wagtaillug/batch/OrderState.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/batch/OrderState.java
@@ -16,8 +16,8 @@
     OrderState(BatchOrder order, BatchContract contract) {
         this.order = order;
         this.contract = contract;
-        this.results = new StepResult[order.pieces()];
-        this.missingResults = order.pieces();
+        this.results = new StepResult[order.items()];
+        this.missingResults = order.items();
     }
 
     BatchOrder order() {
@@ -28,16 +28,16 @@
         return contract;
     }
 
-    /** Records the result of a piece; returns whether all pieces now have a result. */
-    boolean recordResult(int piece, StepResult result) {
-        if (results[piece] == null) {
+    /** Records the result of an item; returns whether all items now have a result. */
+    boolean recordResult(int item, StepResult result) {
+        if (results[item] == null) {
             missingResults--;
         }
-        results[piece] = result;
+        results[item] = result;
         return missingResults == 0;
     }
 
-    /** Records a failed attempt at one of its pieces; returns the number of failures so far. */
+    /** Records a failed attempt at one of its items; returns the number of failures so far. */
     int recordFailure() {
         failures++;
         return failures;
--- a/wagtaillug-core/src/main/java/org/wagtaillug/batch/PoolThroughput.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/batch/PoolThroughput.java
@@ -18,22 +18,22 @@
     private final Deque<Arrival> arrivals = new ArrayDeque<>();
     private double fillRatio = 1;
 
-    private record Arrival(Instant at, int rank, int pieces) {}
+    private record Arrival(Instant at, int rank, int items) {}
 
     void onOrder(BatchOrder order, Instant now) {
         expire(now);
-        arrivals.addLast(new Arrival(now, order.urgency().rank(), order.pieces()));
+        arrivals.addLast(new Arrival(now, order.urgency().rank(), order.items()));
     }
 
     /**
      * Records the start of a call.
      *
-     * @param pieces the number of pieces in the call
-     * @param maxPieces the maximum number of pieces in a call
-     * @param backlog whether pieces are still queued; a call that empties the queue does not show how full calls could be
+     * @param items the number of items in the call
+     * @param maxItems the maximum number of items in a call
+     * @param backlog whether items are still queued; a call that empties the queue does not show how full calls could be
      */
-    void onCall(int pieces, int maxPieces, boolean backlog) {
-        double newest = backlog ? (double) pieces / maxPieces : 1;
+    void onCall(int items, int maxItems, boolean backlog) {
+        double newest = backlog ? (double) items / maxItems : 1;
         fillRatio = fillRatio * (1 - EWMA_ALPHA) + newest * EWMA_ALPHA;
     }
 
@@ -42,14 +42,14 @@
         return fillRatio;
     }
 
-    /** Arrival rate, in pieces per second, of the ranks below a rank, which are served before it whenever they arrive. */
+    /** Arrival rate, in items per second, of the ranks below a rank, which are served before it whenever they arrive. */
     double rateBelow(int rank, Instant now) {
         expire(now);
-        int pieces = 0;
+        int items = 0;
         for (Arrival arrival : arrivals) {
-            pieces += arrival.rank() < rank ? arrival.pieces() : 0;
+            items += arrival.rank() < rank ? arrival.items() : 0;
         }
-        return pieces / (WINDOW.toMillis() / 1000.0);
+        return items / (WINDOW.toMillis() / 1000.0);
     }
 
     /** The ranks of recent orders, in ascending order. */
--- a/wagtaillug-core/src/main/java/org/wagtaillug/batch/QueueDelayEstimate.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/batch/QueueDelayEstimate.java
@@ -8,6 +8,6 @@
  *
  * @param pool the pool
  * @param rank the priority class; 0 is served first
- * @param expected the time until its last piece is sent in a call
+ * @param expected the time until its last item is sent in a call
  */
 public record QueueDelayEstimate(PoolId pool, int rank, Duration expected) {}
--- a/wagtaillug-core/src/main/java/org/wagtaillug/message/ServingMessage.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/message/ServingMessage.java
@@ -67,16 +67,16 @@
     record FeedHelp(FeedName feed, FeedBatch batch) implements ServingMessage {}
 
     /**
-     * Orders all pieces of a step from the node that schedules the pool's calls; resent until it is answered. Times are
+     * Orders all items of a step from the node that schedules the pool's calls; resent until it is answered. Times are
      * durations, as the clocks of nodes differ.
      *
      * @param number unique within a run of the sender
      * @param request the request that the step belongs to
      * @param step the number of the step
      * @param pool the pool
-     * @param pieces the number of pieces
+     * @param items the number of items
      * @param key the key that a step without inputs works on
-     * @param inputs the handles of the inputs of each piece
+     * @param inputs the handles of the inputs of each item
      * @param resultBytes the approximate size of one result
      * @param near the failure domain that holds most of its inputs
      * @param rank the priority rank; 0 is served first
@@ -88,7 +88,7 @@
             RequestId request,
             int step,
             PoolId pool,
-            int pieces,
+            int items,
             Optional<String> key,
             List<String> inputs,
             long resultBytes,
@@ -107,7 +107,7 @@
     record PiecesAnswered(long number, BatchOutcome outcome) implements ServingMessage {}
 
     /**
-     * Cancels an order of pieces.
+     * Cancels an order of items.
      *
      * @param number the number of the order
      */
--- a/wagtaillug-core/src/main/java/org/wagtaillug/policy/PolicyFeature.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/policy/PolicyFeature.java
@@ -7,9 +7,9 @@
 public enum PolicyFeature {
     /** One node schedules the batched calls of a pool for all nodes; if off, each node schedules its own. */
     SHARED_FILLING,
-    /** Pieces are served by rank and latency target, those that can meet it first; if off, in order of arrival. */
+    /** Items are served by rank and latency target, those that can meet it first; if off, in order of arrival. */
     URGENCY_ORDER,
-    /** A server without capacity for a result still gets pieces with smaller results; if off, it gets none for a while. */
+    /** A server without capacity for a result still gets items with smaller results; if off, it gets none for a while. */
     ROOM_BY_SIZE,
     /** Work is preferably sent to servers near its inputs. */
     NEARNESS,
--- a/wagtaillug-core/src/main/java/org/wagtaillug/route/ServingConfiguration.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/route/ServingConfiguration.java
@@ -37,7 +37,7 @@
     public List<PoolId> scheduledPools() {
         List<PoolId> scheduled = new ArrayList<>();
         for (PoolProfile pool : pools.values()) {
-            if (pool.pieces().isPresent()) {
+            if (pool.items().isPresent()) {
                 scheduled.add(pool.id());
             }
         }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/Flow.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/Flow.java
@@ -106,11 +106,11 @@
         return pool;
     }
 
-    /** The steps for which this request has pieces. */
+    /** The steps for which this request has items. */
     List<Step> steps() {
         List<Step> steps = new ArrayList<>();
         for (Step step : route.steps()) {
-            if (request.piecesOf(step.number()) > 0) {
+            if (request.itemsOf(step.number()) > 0) {
                 steps.add(step);
             }
         }
@@ -130,7 +130,7 @@
 
     private boolean inputsComplete(Step step) {
         for (int before : step.after()) {
-            if (request.piecesOf(before) > 0 && !results.containsKey(before)) {
+            if (request.itemsOf(before) > 0 && !results.containsKey(before)) {
                 return false;
             }
         }
@@ -196,18 +196,18 @@
         return inputs;
     }
 
-    /** Estimate of the bytes that the servers of a step fetch: each piece fetches all inputs. */
+    /** Estimate of the bytes that the servers of a step fetch: each item fetches all inputs. */
     long estimatedInputBytes(Step step) {
         long bytes = 0;
         for (int before : step.after()) {
-            bytes += route.steps().get(before).resultBytes() * request.piecesOf(before);
+            bytes += route.steps().get(before).resultBytes() * request.itemsOf(before);
         }
-        return bytes * request.piecesOf(step.number());
+        return bytes * request.itemsOf(step.number());
     }
 
     /** Estimate of the total size of the results of a step. */
     long estimatedResultBytes(Step step) {
-        return step.resultBytes() * request.piecesOf(step.number());
+        return step.resultBytes() * request.itemsOf(step.number());
     }
 
     /** Whether the results of a step are inputs of the upstream. */
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/FlowLog.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/FlowLog.java
@@ -39,7 +39,7 @@
                 .field("customer", flow.customer().map(Object::toString).orElse("-"))
                 .field("configuration", configuration)
                 .field("patience_ms", millis(now, flow.deadline()))
-                .field("pieces", flow.request().pieces())
+                .field("pieces", flow.request().items())
                 .field("content", flow.request().fingerprint());
         if (shutdown.started()) {
             line.field("since_signal_ms", shutdown.since(now).toMillis());
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/FlowSteps.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/FlowSteps.java
@@ -80,9 +80,9 @@
         return orders.waitOf(pool, rank, now);
     }
 
-    /** Orders the pieces of a step. Returns false if its pool accepts no pieces. */
+    /** Orders the items of a step. Returns false if its pool accepts no items. */
     boolean order(Flow flow, Step step, Instant now) {
-        Optional<BatchContract> contract = configuration.pool(step.pool()).flatMap(PoolProfile::pieces);
+        Optional<BatchContract> contract = configuration.pool(step.pool()).flatMap(PoolProfile::items);
         if (contract.isEmpty()) {
             return false;
         }
@@ -98,8 +98,8 @@
                         flow.request().id(),
                         step.number(),
                         step.pool(),
-                        flow.request().piecesOf(step.number()),
-                        inputs.isEmpty() ? flow.request().pieceKey() : Optional.empty(),
+                        flow.request().itemsOf(step.number()),
+                        inputs.isEmpty() ? flow.request().itemKey() : Optional.empty(),
                         inputs,
                         step.resultBytes(),
                         preferredDomain(flow, step, now),
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/PathEstimate.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/PathEstimate.java
@@ -75,9 +75,9 @@
     }
 
     private static Duration workTime(Flow flow, Step step, ServingConfiguration configuration) {
-        Optional<BatchContract> contract = configuration.pool(step.pool()).flatMap(PoolProfile::pieces);
-        int pieces = flow.request().piecesOf(step.number());
-        return contract.map(batching -> batching.callOf(Math.min(pieces, batching.batch())))
+        Optional<BatchContract> contract = configuration.pool(step.pool()).flatMap(PoolProfile::items);
+        int items = flow.request().itemsOf(step.number());
+        return contract.map(batching -> batching.callOf(Math.min(items, batching.batch())))
                 .orElse(Duration.ZERO);
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/RequestFlows.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/RequestFlows.java
@@ -197,7 +197,7 @@
     }
 
     /**
-     * Rejects a request whose estimated time through all steps exceeds its latency target by more than a piece may
+     * Rejects a request whose estimated time through all steps exceeds its latency target by more than an item may
      * wait past it in a pool. Returns whether it was rejected.
      */
     private boolean rejectIfEstimatedLate(Flow flow, Instant now) {
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/RoutedRequest.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/RoutedRequest.java
@@ -15,8 +15,8 @@
  * @param path the requested path
  * @param callerKey the API key of the caller
  * @param callerTimeout how long the caller waits from now
- * @param pieces number of pieces of each step; 0 for steps that are not listed
- * @param pieceKey input of steps without predecessors
+ * @param items number of items of each step; 0 for steps that are not listed
+ * @param itemKey input of steps without predecessors
  * @param promptSegments segments of the prompt, in order; empty if there is none
  * @param promptTokens length of the prompt, 0 if there is none
  * @param resumesAfter id of the last event that the caller has received of an interrupted stream
@@ -27,23 +27,23 @@
         String path,
         Optional<String> callerKey,
         Duration callerTimeout,
-        List<Integer> pieces,
-        Optional<String> pieceKey,
+        List<Integer> items,
+        Optional<String> itemKey,
         List<PrefixSegment> promptSegments,
         int promptTokens,
         Optional<String> resumesAfter) {
     public RoutedRequest {
-        pieces = List.copyOf(pieces);
+        items = List.copyOf(items);
         promptSegments = List.copyOf(promptSegments);
     }
 
     /** A hash that is equal for retries of a request under other ids, and rarely for other requests. */
     public String fingerprint() {
-        return Integer.toHexString(Objects.hash(host, path, pieces, pieceKey, promptSegments, promptTokens));
+        return Integer.toHexString(Objects.hash(host, path, items, itemKey, promptSegments, promptTokens));
     }
 
-    /** Returns the number of pieces of a step. */
-    public int piecesOf(int step) {
-        return step < pieces.size() ? pieces.get(step) : 0;
+    /** Returns the number of items of a step. */
+    public int itemsOf(int step) {
+        return step < items.size() ? items.get(step) : 0;
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/Serving.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/Serving.java
@@ -222,7 +222,7 @@
 
     private void onPiecesWanted(NodeId sender, ServingMessage.PiecesWanted wanted, Instant now) {
         Optional<BatchContract> contract =
-                configuration.flatMap(latest -> latest.pool(wanted.pool())).flatMap(PoolProfile::pieces);
+                configuration.flatMap(latest -> latest.pool(wanted.pool())).flatMap(PoolProfile::items);
         if (contract.isEmpty()) {
             // This node does not know the pool yet; the sender repeats the order.
             return;
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/StepOrders.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/StepOrders.java
@@ -30,7 +30,7 @@
 import org.wagtaillug.route.BatchContract;
 
 /**
- * Orders of pieces: those of this node, whichever node schedules them, and those of other nodes that are scheduled
+ * Orders of items: those of this node, whichever node schedules them, and those of other nodes that are scheduled
  * here.
  *
  * <p>A message may be lost, and the node that schedules a pool may fail and lose its state. An order is therefore
@@ -152,7 +152,7 @@
                         order.request(),
                         order.step(),
                         order.pool(),
-                        order.pieces(),
+                        order.items(),
                         order.key(),
                         order.inputs(),
                         order.resultBytes(),
@@ -202,7 +202,7 @@
                 wanted.request(),
                 wanted.step(),
                 wanted.pool(),
-                wanted.pieces(),
+                wanted.items(),
                 wanted.key(),
                 wanted.inputs(),
                 wanted.resultBytes(),
@@ -233,7 +233,7 @@
         // would not find them.
         boolean duplicate = schedulerNode.equals(answeredBy.get(number));
         if (!duplicate && outcome instanceof BatchOutcome.Made made) {
-            // The request has ended meanwhile, or another node has produced the same pieces.
+            // The request has ended meanwhile, or another node has produced the same items.
             release(schedulerNode, made.results());
         }
     }
@@ -256,7 +256,7 @@
 
     /**
      * Whether a node is up. An order stays with its node while that is up, even if another one schedules the pool
-     * now: some of its pieces may already be in progress.
+     * now: some of its items may already be in progress.
      */
     private boolean available(VmId node, Instant now) {
         return node.equals(self.vm()) || peers.up(node, now);
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/StepTimes.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/StepTimes.java
@@ -61,16 +61,16 @@
     }
 
     private static Duration duration(Flow flow, Step step, ServingConfiguration configuration) {
-        int pieces = flow.request().piecesOf(step.number());
+        int items = flow.request().itemsOf(step.number());
         return configuration
                 .pool(step.pool())
-                .flatMap(pool -> pool.pieces())
-                .map(contract -> fullCall(contract, pieces))
+                .flatMap(pool -> pool.items())
+                .map(contract -> fullCall(contract, items))
                 .orElse(Duration.ZERO);
     }
 
     /** Assumes full calls, as calls are full under the load at which urgency matters. */
-    private static Duration fullCall(BatchContract contract, int pieces) {
-        return contract.callOf(Math.max(contract.batch(), pieces));
+    private static Duration fullCall(BatchContract contract, int items) {
+        return contract.callOf(Math.max(contract.batch(), items));
     }
 }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/batch/BatchSchedulerRandomTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/batch/BatchSchedulerRandomTest.java
@@ -13,7 +13,7 @@
 import java.util.Random;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.wagtaillug.batch.BatchCallEnd.PieceAnswer;
+import org.wagtaillug.batch.BatchCallEnd.ItemAnswer;
 import org.wagtaillug.directory.Listing;
 import org.wagtaillug.directory.UpstreamDirectory;
 import org.wagtaillug.id.DomainId;
@@ -27,7 +27,7 @@
 
 /**
  * Simulates pools of 1 to 60 servers with random batch sizes, result capacities and speeds, under loads from idle to three
- * times the pool's capacity. In every pool, no server may be idle while a piece that fits into its capacity is queued, a call
+ * times the pool's capacity. In every pool, no server may be idle while an item that fits into its capacity is queued, a call
  * must respect the batch size and the capacity, and each order gets exactly one outcome.
  */
 class BatchSchedulerRandomTest {
@@ -54,7 +54,7 @@
         private final Map<OrderId, Integer> outcomeCounts = new HashMap<>();
         private final BatchContract contract;
         private final int servers;
-        private final long pieceBytes;
+        private final long itemBytes;
         private Instant now = START;
         private long lastNumber;
         private int completedOrders;
@@ -63,13 +63,13 @@
             random = new Random(seed);
             servers = 1 + random.nextInt(60);
             int batch = 1 + random.nextInt(40);
-            pieceBytes = 1 + random.nextInt(1000);
+            itemBytes = 1 + random.nextInt(1000);
             contract = new BatchContract(
                     1 + random.nextInt(2),
                     batch,
                     Duration.ofMillis(2 + random.nextInt(200)),
                     Duration.ofNanos(20_000 + random.nextInt(20_000_000)),
-                    pieceBytes * batch * (1 + random.nextInt(3)),
+                    itemBytes * batch * (1 + random.nextInt(3)),
                     Duration.ofSeconds(4));
             for (int server = 0; server < servers; server++) {
                 VmId id = new VmId("i-" + server);
@@ -86,14 +86,14 @@
 
         void simulate() {
             double load = 0.1 + random.nextDouble() * 3;
-            double secondsPerPiece =
+            double secondsPerItem =
                     contract.callOf(contract.batch()).toNanos() / 1e9 / (contract.slots() * contract.batch() * servers);
             Duration at = Duration.ZERO;
             for (int number = 0; number < ORDERS; number++) {
-                int pieces = 1 + random.nextInt(contract.batch() + 3);
+                int items = 1 + random.nextInt(contract.batch() + 3);
                 int rank = random.nextInt(3);
-                at = at.plusNanos(Math.round(secondsPerPiece * pieces / load * 1e9));
-                schedule(at, () -> order(pieces, rank));
+                at = at.plusNanos(Math.round(secondsPerItem * items / load * 1e9));
+                schedule(at, () -> order(items, rank));
             }
             Instant end = now.plus(at).plusSeconds(30);
             for (Instant tick = now; tick.isBefore(end); tick = tick.plus(TICK)) {
@@ -105,11 +105,11 @@
                 }
                 now = tick;
                 scheduler.onTick(now);
-                assertNoServerIdlesWhileAPieceFits();
+                assertNoServerIdlesWhileAnItemFits();
             }
         }
 
-        private void order(int pieces, int rank) {
+        private void order(int items, int rank) {
             lastNumber++;
             OrderId id = new OrderId(new NodeId(new VmId("node"), 1), lastNumber);
             outcomeCounts.put(id, 0);
@@ -120,23 +120,23 @@
                             new RequestId("r-" + lastNumber),
                             0,
                             POOL,
-                            pieces,
+                            items,
                             Optional.of("key"),
                             List.of(),
-                            pieceBytes,
+                            itemBytes,
                             Optional.empty(),
                             new BatchOrder.Urgency(rank, aim, aim.plusSeconds(5))),
                     contract,
                     now);
         }
 
-        private void assertNoServerIdlesWhileAPieceFits() {
+        private void assertNoServerIdlesWhileAnItemFits() {
             if (scheduler.waiting(POOL) == 0) {
                 return;
             }
             for (VmId id : activeCalls.keySet()) {
                 boolean free = activeCalls.get(id) < contract.slots();
-                boolean fits = usedBytes.get(id) + pieceBytes <= contract.resultCapacityBytes();
+                boolean fits = usedBytes.get(id) + itemBytes <= contract.resultCapacityBytes();
                 assertThat(free && fits)
                         .describedAs(
                                 "server %s is idle at %s while %d pieces are queued", id, now, scheduler.waiting(POOL))
@@ -147,20 +147,20 @@
         @Override
         public void call(BatchCall call) {
             VmId id = call.upstream().id();
-            int pieces = call.items().size();
-            assertThat(pieces).isBetween(1, contract.batch());
+            int items = call.items().size();
+            assertThat(items).isBetween(1, contract.batch());
             activeCalls.merge(id, 1, Integer::sum);
-            usedBytes.merge(id, pieceBytes * pieces, Long::sum);
+            usedBytes.merge(id, itemBytes * items, Long::sum);
             assertThat(activeCalls.get(id)).isLessThanOrEqualTo(contract.slots());
             assertThat(usedBytes.get(id)).isLessThanOrEqualTo(contract.resultCapacityBytes());
-            schedule(contract.callOf(pieces), () -> {
+            schedule(contract.callOf(items), () -> {
                 activeCalls.merge(id, -1, Integer::sum);
-                List<PieceAnswer> results = new ArrayList<>();
-                for (int piece = 0; piece < pieces; piece++) {
+                List<ItemAnswer> results = new ArrayList<>();
+                for (int item = 0; item < items; item++) {
                     lastNumber++;
                     String handle = id + "/" + lastNumber;
-                    resultBytes.put(handle, pieceBytes);
-                    results.add(new PieceAnswer.Made(handle));
+                    resultBytes.put(handle, itemBytes);
+                    results.add(new ItemAnswer.Made(handle));
                     schedule(contract.resultLifetime(), () -> removeResult(id, handle));
                 }
                 scheduler.onCallEnded(call.number(), new BatchCallEnd.Answered(results), now);
--- a/wagtaillug-core/src/test/java/org/wagtaillug/batch/BatchSchedulerTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/batch/BatchSchedulerTest.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
-import org.wagtaillug.batch.BatchCallEnd.PieceAnswer;
+import org.wagtaillug.batch.BatchCallEnd.ItemAnswer;
 import org.wagtaillug.directory.Listing;
 import org.wagtaillug.directory.UpstreamDirectory;
 import org.wagtaillug.id.DomainId;
@@ -66,7 +66,7 @@
         directory.onListing(new Listing(new VmId(id), 1, POOL, "10.0.0.1", 80, domain, false, Duration.ZERO, ""), now);
     }
 
-    private long order(int pieces, int rank, Duration aim, long bytes, Optional<DomainId> near) {
+    private long order(int items, int rank, Duration aim, long bytes, Optional<DomainId> near) {
         lastNumber++;
         scheduler.onOrder(
                 new BatchOrder(
@@ -74,7 +74,7 @@
                         new RequestId("request-" + lastNumber),
                         0,
                         POOL,
-                        pieces,
+                        items,
                         Optional.of("key"),
                         List.of(),
                         bytes,
@@ -86,14 +86,14 @@
         return lastNumber;
     }
 
-    private long order(int pieces) {
-        return order(pieces, 0, Duration.ofSeconds(2), 1, Optional.empty());
+    private long order(int items) {
+        return order(items, 0, Duration.ofSeconds(2), 1, Optional.empty());
     }
 
     private void answer(BatchCall call) {
-        List<PieceAnswer> answers = new ArrayList<>();
+        List<ItemAnswer> answers = new ArrayList<>();
         for (int item = 0; item < call.items().size(); item++) {
-            answers.add(new PieceAnswer.Made("h-" + call.number() + "-" + item));
+            answers.add(new ItemAnswer.Made("h-" + call.number() + "-" + item));
         }
         scheduler.onCallEnded(call.number(), new BatchCallEnd.Answered(answers), now);
     }
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void queuedPiecesFillTheNextCall() {
+    void queuedItemsFillTheNextCall() {
         server("i-1", NORTH);
         order(1);
         order(2);
@@ -115,7 +115,7 @@
     }
 
     @Test
-    void piecesThatMeetTheirTargetGoBeforeLateOnes() {
+    void itemsThatMeetTheirTargetGoBeforeLateOnes() {
         // A burst has made some requests late. Serving them first would make the requests that arrive after them late
         // as well, and the pool would not recover until long after the burst.
         server("i-1", NORTH);
@@ -170,7 +170,7 @@
     }
 
     @Test
-    void piecesWaitForAServerNearTheirInputsWhileTheyCanMeetTheirTarget() {
+    void itemsWaitForAServerNearTheirInputsWhileTheyCanMeetTheirTarget() {
         server("i-1", NORTH);
         server("i-2", SOUTH);
         order(6, 0, Duration.ofSeconds(2), 1, Optional.of(SOUTH));
@@ -211,7 +211,7 @@
         server("i-1", NORTH);
         long large = order(1, 0, Duration.ofSeconds(2), 60, Optional.empty());
         scheduler.onCallEnded(
-                output.calls.getFirst().number(), new BatchCallEnd.Answered(List.of(new PieceAnswer.NoRoom())), now);
+                output.calls.getFirst().number(), new BatchCallEnd.Answered(List.of(new ItemAnswer.NoRoom())), now);
 
         long small = order(2, 1, Duration.ofSeconds(2), 5, Optional.empty());
 
@@ -225,7 +225,7 @@
         server("i-1", NORTH);
         order(1, 0, Duration.ofSeconds(2), 60, Optional.empty());
         scheduler.onCallEnded(
-                output.calls.getFirst().number(), new BatchCallEnd.Answered(List.of(new PieceAnswer.NoRoom())), now);
+                output.calls.getFirst().number(), new BatchCallEnd.Answered(List.of(new ItemAnswer.NoRoom())), now);
         tick(Duration.ofMillis(90));
         assertThat(output.calls).hasSize(1);
         tick(Duration.ofMillis(20));
@@ -253,7 +253,7 @@
     }
 
     @Test
-    void waitsArePublishedForRanksWithQueuedPieces() {
+    void waitsArePublishedForRanksWithQueuedItems() {
         server("i-1", NORTH);
         for (int each = 0; each < 30; each++) {
             order(1, 1, Duration.ofSeconds(60), 1, Optional.empty());
@@ -261,7 +261,7 @@
         assertThat(scheduler.waits(now)).hasSize(1);
         QueueDelayEstimate wait = scheduler.waits(now).getFirst();
         assertThat(wait.rank()).isEqualTo(1);
-        // 29 pieces wait; a full call of six takes 270 ms.
+        // 29 items wait; a full call of six takes 270 ms.
         assertThat(wait.expected()).isBetween(Duration.ofMillis(1200), Duration.ofMillis(1600));
         assertThat(scheduler.waitOf(POOL, 0, now)).isZero();
     }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/BranchTimingTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/BranchTimingTest.java
@@ -33,14 +33,14 @@
     private final BranchTiming timing = new BranchTiming(durations);
     private final Flow flow = new Flow(request(List.of(1, 1, 8, 16)), ROUTE, Optional.empty(), 0, START);
 
-    private static RoutedRequest request(List<Integer> pieces) {
+    private static RoutedRequest request(List<Integer> items) {
         return new RoutedRequest(
                 new RequestId("r"),
                 "club.example",
                 "/chat/1",
                 Optional.empty(),
                 Duration.ofSeconds(10),
-                pieces,
+                items,
                 Optional.of("key"),
                 List.of(),
                 1000,
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/LoadWorld.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/LoadWorld.java
@@ -13,7 +13,7 @@
 import java.util.Random;
 import org.wagtaillug.batch.BatchCall;
 import org.wagtaillug.batch.BatchCallEnd;
-import org.wagtaillug.batch.BatchCallEnd.PieceAnswer;
+import org.wagtaillug.batch.BatchCallEnd.ItemAnswer;
 import org.wagtaillug.directory.Listing;
 import org.wagtaillug.feed.ConfigurationItem;
 import org.wagtaillug.feed.DirectoryItem;
@@ -53,7 +53,7 @@
     private static final PoolId RERANK = new PoolId("rerank");
     private static final PoolId MODEL = new PoolId("model");
 
-    /** A large result in parallel to a chain of three steps; the pieces of a request say which of them it has. */
+    /** A large result in parallel to a chain of three steps; the items of a request say which of them it has. */
     private static final List<Step> CHAIN = List.of(
             new Step(0, ENCODE, List.of(), 3_000_000),
             new Step(1, ENCODE, List.of(), 8_000),
@@ -126,7 +126,7 @@
         }
     }
 
-    private record SentRequest(RequestKind kind, Instant at, List<Integer> pieces, boolean retry) {}
+    private record SentRequest(RequestKind kind, Instant at, List<Integer> items, boolean retry) {}
 
     private static final class StageServer {
         final BatchContract contract;
@@ -226,7 +226,7 @@
             records.add(record(id.value(), records.size()));
             configuration()
                     .pool(pool)
-                    .flatMap(PoolProfile::pieces)
+                    .flatMap(PoolProfile::items)
                     .ifPresent(contract -> servers.put(id, new StageServer(contract)));
         }
     }
@@ -252,10 +252,10 @@
         return new ServingConfiguration(1, new RouteTable(routes), pools, CallerLimits.DEFAULTS, Map.of());
     }
 
-    private static PoolProfile stage(PoolId pool, int batch, double pieceMillis, long room) {
-        Duration piece = Duration.ofNanos(Math.round(pieceMillis * 1_000_000));
+    private static PoolProfile stage(PoolId pool, int batch, double itemMillis, long room) {
+        Duration itemTime = Duration.ofNanos(Math.round(itemMillis * 1_000_000));
         BatchContract contract =
-                new BatchContract(1, batch, Duration.ofMillis(150), piece, room, Duration.ofSeconds(4));
+                new BatchContract(1, batch, Duration.ofMillis(150), itemTime, room, Duration.ofSeconds(4));
         return new PoolProfile(pool, 370, 0, Optional.of(contract), false);
     }
 
@@ -271,7 +271,7 @@
                 }
                 at += -Math.log(1 - random.nextDouble()) * GROUP_SIZE / rate;
                 for (int number = 0; number < GROUP_SIZE; number++) {
-                    schedule(START.plusNanos(Math.round(at * 1e9)), () -> sendRequest(kind, now, pieces(kind), false));
+                    schedule(START.plusNanos(Math.round(at * 1e9)), () -> sendRequest(kind, now, items(kind), false));
                 }
             }
         }
@@ -296,7 +296,7 @@
         events.add(new Event(at, sequence, action));
     }
 
-    private List<Integer> pieces(RequestKind kind) {
+    private List<Integer> items(RequestKind kind) {
         return switch (kind) {
             case BRIEF -> List.of(random.nextDouble() < 0.4 ? 1 + random.nextInt(2) : 0, 1, 6, 8 + random.nextInt(17));
             case REPLY -> List.of(0, 1, 6, 8 + random.nextInt(17));
@@ -304,10 +304,10 @@
         };
     }
 
-    private void sendRequest(RequestKind kind, Instant first, List<Integer> pieces, boolean retry) {
+    private void sendRequest(RequestKind kind, Instant first, List<Integer> items, boolean retry) {
         sequence++;
         RequestId id = new RequestId(kind + "-" + sequence);
-        requested.put(id.value(), new SentRequest(kind, first, pieces, retry));
+        requested.put(id.value(), new SentRequest(kind, first, items, retry));
         if (!retry) {
             tallies.get(kind).requested++;
         }
@@ -318,7 +318,7 @@
                 "/" + kind.name() + "/1",
                 Optional.empty(),
                 left,
-                pieces,
+                items,
                 Optional.of("key"),
                 List.of(),
                 kind.tokens,
@@ -346,21 +346,21 @@
         for (BatchCall.Item item : call.items()) {
             // The first step of a chain takes less time than the contract of its pool says.
             double share = item.step() == 1 ? 0.3 : 1;
-            work = work.plusNanos(Math.round(server.contract.pieceTime().toNanos() * share));
+            work = work.plusNanos(Math.round(server.contract.itemTime().toNanos() * share));
         }
         server.freeAt = start.plus(work);
-        List<PieceAnswer> answers = new ArrayList<>();
+        List<ItemAnswer> answers = new ArrayList<>();
         for (BatchCall.Item item : call.items()) {
             long bytes = CHAIN.get(item.step()).resultBytes();
             if (server.used + bytes > server.contract.resultCapacityBytes()) {
-                answers.add(new PieceAnswer.NoRoom());
+                answers.add(new ItemAnswer.NoRoom());
                 continue;
             }
             sequence++;
             String handle = call.upstream().id() + "/" + sequence;
             server.used += bytes;
             server.held.put(handle, bytes);
-            answers.add(new PieceAnswer.Made(handle));
+            answers.add(new ItemAnswer.Made(handle));
             Instant expiry = server.freeAt.plus(server.contract.resultLifetime());
             schedule(expiry, () -> free(server, handle));
         }
@@ -416,7 +416,6 @@
             return;
         }
         Duration pause = wait.compareTo(longest) < 0 ? wait : longest;
-        schedule(
-                now.plus(pause).plusMillis(6), () -> sendRequest(request.kind(), request.at(), request.pieces(), true));
+        schedule(now.plus(pause).plusMillis(6), () -> sendRequest(request.kind(), request.at(), request.items(), true));
     }
 }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/PathEstimateTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/PathEstimateTest.java
@@ -23,7 +23,7 @@
 import org.wagtaillug.route.ServingConfiguration;
 import org.wagtaillug.route.Step;
 
-/** Uses a chain of two steps and a short parallel branch, with 150 ms per call and 20 ms per piece. */
+/** Uses a chain of two steps and a short parallel branch, with 150 ms per call and 20 ms per item. */
 class PathEstimateTest {
     private static final Instant NOW = Instant.parse("2026-01-01T00:00:00Z");
     private static final PoolId FIRST = new PoolId("first");
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingShutdownTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingShutdownTest.java
@@ -35,13 +35,13 @@
     /**
      * Completes streams that last this long from their first event, so that the node learns the duration of streams.
      */
-    private static void completeStreams(ServingWorld world, Duration length, Integer... pieces) {
+    private static void completeStreams(ServingWorld world, Duration length, Integer... items) {
         List<RequestId> known = new ArrayList<>();
         for (int number = 0; number < SAMPLE_COUNT; number++) {
-            known.add(request(world, "draft", pieces));
+            known.add(request(world, "draft", items));
             world.run(TICK);
         }
-        world.run(pieces.length == 0 ? Duration.ZERO : STEPS_DURATION);
+        world.run(items.length == 0 ? Duration.ZERO : STEPS_DURATION);
         known.forEach(stream -> world.startAnswer(1, stream));
         world.run(length);
         for (RequestId stream : known) {
@@ -50,9 +50,9 @@
         }
     }
 
-    private static RequestId request(ServingWorld world, String route, Integer... pieces) {
+    private static RequestId request(ServingWorld world, String route, Integer... items) {
         RequestId id = new RequestId(route + "-" + world.now.toEpochMilli());
-        world.request(1, id, "/" + route + "/1", Optional.of(ServingWorld.KEY), LONG_TIMEOUT, pieces);
+        world.request(1, id, "/" + route + "/1", Optional.of(ServingWorld.KEY), LONG_TIMEOUT, items);
         return id;
     }
 
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingTest.java
@@ -57,9 +57,9 @@
     }
 
     @Test
-    void piecesOfSeveralNodesShareOneCall() {
+    void itemsOfSeveralNodesShareOneCall() {
         // Five callers send requests to five nodes within a few milliseconds while both servers of the pool are busy.
-        // If each node made its own calls, there would be five calls with one piece each, 170 ms per call; a single
+        // If each node made its own calls, there would be five calls with one item each, 170 ms per call; a single
         // scheduler makes one call for all of them.
         ServingWorld world = new ServingWorld(5);
         world.startServing();
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingWorld.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingWorld.java
@@ -14,7 +14,7 @@
 import java.util.Set;
 import org.wagtaillug.batch.BatchCall;
 import org.wagtaillug.batch.BatchCallEnd;
-import org.wagtaillug.batch.BatchCallEnd.PieceAnswer;
+import org.wagtaillug.batch.BatchCallEnd.ItemAnswer;
 import org.wagtaillug.directory.Listing;
 import org.wagtaillug.feed.ConfigurationItem;
 import org.wagtaillug.feed.DirectoryItem;
@@ -58,8 +58,8 @@
     static final DomainId SOUTH = new DomainId("south");
     static final String KEY = "key-of-office";
 
-    /** 150 ms per call and 20 ms per piece, six pieces per call, room for forty results of 10 kB. */
-    static final BatchContract PIECES =
+    /** 150 ms per call and 20 ms per item, six items per call, room for forty results of 10 kB. */
+    static final BatchContract ITEMS =
             new BatchContract(1, 6, Duration.ofMillis(150), Duration.ofMillis(20), 400_000, Duration.ofSeconds(4));
 
     private static final Duration STEP = Duration.ofMillis(20);
@@ -249,8 +249,8 @@
                         .build());
         Map<PoolId, PoolProfile> pools = new HashMap<>();
         pools.put(ORDERS, new PoolProfile(ORDERS, 120, 0, Optional.empty(), false));
-        pools.put(ENCODE, new PoolProfile(ENCODE, 120, 0, Optional.of(PIECES), false));
-        pools.put(RANK, new PoolProfile(RANK, 120, 0, Optional.of(PIECES), false));
+        pools.put(ENCODE, new PoolProfile(ENCODE, 120, 0, Optional.of(ITEMS), false));
+        pools.put(RANK, new PoolProfile(RANK, 120, 0, Optional.of(ITEMS), false));
         pools.put(MODEL, new PoolProfile(MODEL, 120, 8, Optional.empty(), true));
         Customer office = new Customer(new CustomerId("office"), OptionalInt.empty());
         return new ServingConfiguration(
@@ -267,19 +267,19 @@
     }
 
     /** Sends a request to the route of this name. */
-    RequestId request(int node, String route, Integer... pieces) {
+    RequestId request(int node, String route, Integer... items) {
         sequence++;
         RequestId id = new RequestId(route + "-" + sequence);
-        request(node, id, "/" + route + "/1", Optional.of(KEY), pieces);
+        request(node, id, "/" + route + "/1", Optional.of(KEY), items);
         return id;
     }
 
-    void request(int node, RequestId id, String path, Optional<String> key, Integer... pieces) {
-        request(node, id, path, key, Duration.ofSeconds(6), pieces);
+    void request(int node, RequestId id, String path, Optional<String> key, Integer... items) {
+        request(node, id, path, key, Duration.ofSeconds(6), items);
     }
 
     /** Sends a request with the given timeout of its caller. */
-    void request(int node, RequestId id, String path, Optional<String> key, Duration callerTimeout, Integer... pieces) {
+    void request(int node, RequestId id, String path, Optional<String> key, Duration callerTimeout, Integer... items) {
         handle(
                 node(node),
                 new ServingEvent.RequestArrived(new RoutedRequest(
@@ -288,7 +288,7 @@
                         path,
                         key,
                         callerTimeout,
-                        List.of(pieces),
+                        List.of(items),
                         Optional.of("piece-key"),
                         List.of(),
                         1000,
@@ -376,13 +376,13 @@
 
     private void callBatch(VmId vm, BatchCall call) {
         batchCalls.add(call);
-        List<PieceAnswer> answers = new ArrayList<>();
+        List<ItemAnswer> answers = new ArrayList<>();
         for (int item = 0; item < call.items().size(); item++) {
             results++;
-            answers.add(new PieceAnswer.Made("result-" + results));
+            answers.add(new ItemAnswer.Made("result-" + results));
         }
         schedule(
-                PIECES.callOf(call.items().size()),
+                ITEMS.callOf(call.items().size()),
                 vm,
                 new ServingEvent.BatchCallEnded(call.number(), new BatchCallEnd.Answered(answers)));
     }
--- a/wagtaillug-link/src/main/java/org/wagtaillug/link/ServingCodec.java
+++ b/wagtaillug-link/src/main/java/org/wagtaillug/link/ServingCodec.java
@@ -225,7 +225,7 @@
                 .setRequest(wanted.request().value())
                 .setStep(wanted.step())
                 .setPool(wanted.pool().value())
-                .setPieces(wanted.pieces())
+                .setPieces(wanted.items())
                 .addAllInputs(wanted.inputs())
                 .setResultBytes(wanted.resultBytes())
                 .setRank(wanted.rank())
