--- a/wagtaillug-benchmarks/src/main/java/org/wagtaillug/benchmarks/Fleet.java
+++ b/wagtaillug-benchmarks/src/main/java/org/wagtaillug/benchmarks/Fleet.java
@@ -57,27 +57,27 @@
     }
 
     @Override
-    public boolean start(VmId upstream, Instant now) {
+    public boolean tryStart(VmId upstream, Instant now) {
         return true;
     }
 
     @Override
-    public Instant startBefore(VmId upstream, Instant now) {
+    public Instant sendDeadline(VmId upstream, Instant now) {
         return now.plusSeconds(2);
     }
 
     @Override
-    public void progressed(VmId upstream, Duration sinceStart, Instant now) {
+    public void onProgress(VmId upstream, Duration sinceStart, Instant now) {
         // Not part of the measurement.
     }
 
     @Override
-    public void finished(VmId upstream, UpstreamOutcome finish, Duration took, Instant now) {
+    public void onFinished(VmId upstream, UpstreamOutcome outcome, Duration took, Instant now) {
         // Not part of the measurement.
     }
 
     @Override
-    public void want(PoolId pool, int attempts) {
+    public void setDemand(PoolId pool, int attempts) {
         // Not part of the measurement.
     }
 
@@ -87,7 +87,7 @@
     }
 
     @Override
-    public boolean cold(VmId upstream) {
+    public boolean isCold(VmId upstream) {
         return false;
     }
 
--- a/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/Attempt.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/Attempt.java
@@ -15,7 +15,7 @@
  * @param stage the stage that it executes
  * @param upstream the upstream that is called
  * @param input the output of the previous stage, or the request's body for the first stage
- * @param startBefore no byte may be sent at or after this time, because the grant that it uses has expired by then
+ * @param sendDeadline no byte may be sent at or after this time, because the grant that it uses has expired by then
  * @param deadline the attempt is cancelled at this time
  * @param priority 0 to 9, where 9 is the most urgent
  * @param key the idempotency key to forward; empty for idempotent work
@@ -26,7 +26,7 @@
         Stage stage,
         Vm upstream,
         Payload input,
-        Instant startBefore,
+        Instant sendDeadline,
         Instant deadline,
         int priority,
         Optional<IdempotencyKey> key,
--- a/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/AttemptEnd.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/AttemptEnd.java
@@ -29,6 +29,6 @@
      */
     record Failed(boolean byteLeft, String message) implements AttemptEnd {}
 
-    /** It was not sent before its start limit; see {@link Attempt#startBefore()}. */
+    /** It was not sent before its start limit; see {@link Attempt#sendDeadline()}. */
     record NotStarted() implements AttemptEnd {}
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/Dispatcher.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/Dispatcher.java
@@ -153,7 +153,7 @@
     }
 
     /** This node has won the claim of the request's key and may send the request. */
-    public void onClaimWon(RequestId id, Instant now, Effects effects) {
+    public void onClaimAcquired(RequestId id, Instant now, Effects effects) {
         RequestFlow flow = flows.get(id);
         if (flow == null) {
             claims.abandon(id, now, effects);
@@ -205,7 +205,7 @@
             return;
         }
         if (!live.progressed()) {
-            upstreams.progressed(live.attempt().upstream().id(), Duration.between(live.startedAt(), now), now);
+            upstreams.onProgress(live.attempt().upstream().id(), Duration.between(live.startedAt(), now), now);
         }
         live.onProgress(now);
     }
@@ -220,7 +220,7 @@
         RequestFlow flow = live.flow();
         flow.live().remove(live);
         Duration took = Duration.between(live.startedAt(), now);
-        upstreams.finished(live.attempt().upstream().id(), finish(live, end), took, now);
+        upstreams.onFinished(live.attempt().upstream().id(), outcomeOf(live, end), took, now);
         if (end instanceof AttemptEnd.Completed) {
             estimates.onCompleted(live.attempt().stage().pool(), now);
         }
@@ -236,7 +236,7 @@
      * Maps the end of an attempt to the result that is recorded for its upstream. Only a stalled attempt may still be
      * running there. A refused, reset or invalid one has ended, and may mean that the upstream has just started.
      */
-    private static UpstreamOutcome finish(LiveAttempt live, AttemptEnd end) {
+    private static UpstreamOutcome outcomeOf(LiveAttempt live, AttemptEnd end) {
         if (live.stalled()) {
             return UpstreamOutcome.FAILED;
         }
@@ -423,7 +423,7 @@
                 return;
             }
             Vm upstream = choice.upstream().get();
-            if (!upstreams.start(upstream.id(), now)) {
+            if (!upstreams.tryStart(upstream.id(), now)) {
                 return;
             }
             queue.remove(flow);
@@ -472,13 +472,13 @@
         Stage stage = flow.stage();
         Instant stageEnd = now.plus(flow.idempotent() ? min(stage.timeout(), MAX_ATTEMPT_DURATION) : stage.timeout());
         boolean untilDeadline = flow.idempotent() && flow.deadline().isBefore(stageEnd);
-        Instant startBefore = earlier(upstreams.startBefore(upstream.id(), now), flow.deadline());
+        Instant sendDeadline = earlier(upstreams.sendDeadline(upstream.id(), now), flow.deadline());
         Attempt attempt = new Attempt(
                 flow.nextAttempt(),
                 stage,
                 upstream,
                 flow.input(),
-                startBefore,
+                sendDeadline,
                 untilDeadline ? flow.deadline() : stageEnd,
                 EnginePriority.of(flow.worth()),
                 flow.idempotent() ? Optional.empty() : flow.request().key(),
@@ -526,7 +526,7 @@
         for (LiveAttempt live : attempts.values()) {
             demands.add(live.attempt().stage().pool(), 1);
         }
-        demands.takePeaks(now).forEach(upstreams::want);
+        demands.takePeaks(now).forEach(upstreams::setDemand);
     }
 
     /**
@@ -610,7 +610,7 @@
             return;
         }
         Vm second = choice.upstream().get();
-        if (upstreams.start(second.id(), now)) {
+        if (upstreams.tryStart(second.id(), now)) {
             start(flow, second, choice, "hedge", now, effects);
         }
     }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/grant/GrantHolder.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/grant/GrantHolder.java
@@ -30,17 +30,17 @@
  * Holds the allowances that upstream owners have granted to this node, and decides whether an attempt may start.
  *
  * <pre>{@code
- * holder.want(pool, queued + running);
+ * holder.setDemand(pool, queued + running);
  * holder.onTick(now, effects);
- * if (holder.start(upstream, now)) {
- *     // send before holder.startBefore(upstream, now), and when the attempt ends:
- *     holder.finished(upstream, UpstreamOutcome.SUCCEEDED, now);
+ * if (holder.tryStart(upstream, now)) {
+ *     // send before holder.sendDeadline(upstream, now), and when the attempt ends:
+ *     holder.onFinished(upstream, UpstreamOutcome.SUCCEEDED, now);
  * }
  * }</pre>
  *
  * <p>A node that was paused may still hold an allowance that expired meanwhile and was granted to another node, and no
  * message tells it so on waking. Every start therefore compares the present time with the expiry of the allowance, and
- * the I/O layer compares again before it sends the first byte, see {@code Attempt.startBefore}.
+ * the I/O layer compares again before it sends the first byte, see {@code Attempt.sendDeadline}.
  */
 public final class GrantHolder {
     /** The maximum number of upstreams of a pool that a node uses; it uses all of a smaller pool. */
@@ -109,7 +109,7 @@
     }
 
     /** Sets how many requests this node would like to have in flight at the upstreams of a pool, in total. */
-    public void want(PoolId pool, int count) {
+    public void setDemand(PoolId pool, int count) {
         int before = demandByPool.getOrDefault(pool, 0);
         demandByPool.put(pool, count);
         if (count > before) {
@@ -343,7 +343,7 @@
     }
 
     /** Takes one start if one is available; gives whether it was. Each has to be reported as finished once. */
-    public boolean start(VmId upstream, Instant now) {
+    public boolean tryStart(VmId upstream, Instant now) {
         if (available(upstream, now) == 0) {
             return false;
         }
@@ -352,7 +352,7 @@
     }
 
     /** The time by which an attempt that is started now must have been sent; later it may not be sent any more. */
-    public Instant startBefore(VmId upstream, Instant now) {
+    public Instant sendDeadline(VmId upstream, Instant now) {
         UpstreamGrant grant = grants.get(upstream);
         if (grant == null) {
             return now;
@@ -364,10 +364,10 @@
     }
 
     /** Records the end of an attempt that was started at an upstream. */
-    public void finished(VmId upstream, UpstreamOutcome outcome, Instant now) {
+    public void onFinished(VmId upstream, UpstreamOutcome outcome, Instant now) {
         UpstreamGrant grant = grants.get(upstream);
         if (grant != null) {
-            grant.finished(outcome, now);
+            grant.onFinished(outcome, now);
         }
     }
 
@@ -377,7 +377,7 @@
     }
 
     /** Whether an upstream is cold as far as this node knows; true for an unknown upstream. */
-    public boolean cold(VmId upstream) {
+    public boolean isCold(VmId upstream) {
         UpstreamGrant grant = grants.get(upstream);
         return grant == null || grant.cold();
     }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/grant/GrantOwner.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/grant/GrantOwner.java
@@ -137,7 +137,7 @@
     }
 
     /** Records that an owned upstream did not answer a load request. */
-    public void onLoadMissing(VmId upstream, Instant now, Effects effects) {
+    public void onLoadRequestFailed(VmId upstream, Instant now, Effects effects) {
         UpstreamAccount account = accounts.get(upstream);
         if (account == null) {
             return;
--- a/wagtaillug-core/src/main/java/org/wagtaillug/grant/UpstreamGrant.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/grant/UpstreamGrant.java
@@ -102,7 +102,7 @@
      * an attempt may run. News of a restart does not free the slot, since the attempt may have begun after that
      * restart.
      */
-    void finished(UpstreamOutcome outcome, Instant now) {
+    void onFinished(UpstreamOutcome outcome, Instant now) {
         if (inFlight == 0) {
             return;
         }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/BaselineUpstreams.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/BaselineUpstreams.java
@@ -43,28 +43,28 @@
     }
 
     @Override
-    public boolean start(VmId upstream, Instant now) {
+    public boolean tryStart(VmId upstream, Instant now) {
         inFlight.merge(upstream, 1, Integer::sum);
         return true;
     }
 
     @Override
-    public Instant startBefore(VmId upstream, Instant now) {
+    public Instant sendDeadline(VmId upstream, Instant now) {
         return now.plus(START_TIMEOUT);
     }
 
     @Override
-    public void progressed(VmId upstream, Duration sinceStart, Instant now) {
+    public void onProgress(VmId upstream, Duration sinceStart, Instant now) {
         // The baseline policy does not use progress.
     }
 
     @Override
-    public void finished(VmId upstream, UpstreamOutcome finish, Duration took, Instant now) {
+    public void onFinished(VmId upstream, UpstreamOutcome outcome, Duration took, Instant now) {
         inFlight.merge(upstream, -1, Integer::sum);
     }
 
     @Override
-    public void want(PoolId pool, int attempts) {
+    public void setDemand(PoolId pool, int attempts) {
         // The baseline policy needs no grants.
     }
 
@@ -74,7 +74,7 @@
     }
 
     @Override
-    public boolean cold(VmId upstream) {
+    public boolean isCold(VmId upstream) {
         return false;
     }
 
--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/Effect.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/Effect.java
@@ -15,7 +15,7 @@
 /** An action that the driver of a {@link Node} has to execute. */
 public sealed interface Effect {
     /**
-     * Sends an attempt, unless its {@code startBefore} has passed by then.
+     * Sends an attempt, unless its {@code sendDeadline} has passed by then.
      *
      * @param attempt the attempt and its target
      */
--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/GrantedUpstreams.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/GrantedUpstreams.java
@@ -46,8 +46,8 @@
     }
 
     @Override
-    public boolean start(VmId upstream, Instant now) {
-        if (!holder.start(upstream, now)) {
+    public boolean tryStart(VmId upstream, Instant now) {
+        if (!holder.tryStart(upstream, now)) {
             return false;
         }
         health.onStarted(upstream, now);
@@ -55,24 +55,24 @@
     }
 
     @Override
-    public Instant startBefore(VmId upstream, Instant now) {
-        return holder.startBefore(upstream, now);
+    public Instant sendDeadline(VmId upstream, Instant now) {
+        return holder.sendDeadline(upstream, now);
     }
 
     @Override
-    public void progressed(VmId upstream, Duration sinceStart, Instant now) {
+    public void onProgress(VmId upstream, Duration sinceStart, Instant now) {
         health.onProgress(upstream, now);
         directory.find(upstream).flatMap(Vm::pool).ifPresent(pool -> firstProgress.add(pool, sinceStart));
     }
 
     @Override
-    public void finished(VmId upstream, UpstreamOutcome finish, Duration took, Instant now) {
-        holder.finished(upstream, finish, now);
+    public void onFinished(VmId upstream, UpstreamOutcome outcome, Duration took, Instant now) {
+        holder.onFinished(upstream, outcome, now);
         Optional<Vm> vm = directory.find(upstream);
         if (vm.isEmpty()) {
             return;
         }
-        switch (finish) {
+        switch (outcome) {
             case SUCCEEDED -> health.onEnded(vm.get(), took, true, now);
             case FAILED, OVERLOADED -> health.onEnded(vm.get(), took, false, now);
             case CANCELLED -> health.onCancelled(upstream);
@@ -80,8 +80,8 @@
     }
 
     @Override
-    public void want(PoolId pool, int attempts) {
-        holder.want(pool, attempts);
+    public void setDemand(PoolId pool, int attempts) {
+        holder.setDemand(pool, attempts);
     }
 
     @Override
@@ -90,8 +90,8 @@
     }
 
     @Override
-    public boolean cold(VmId upstream) {
-        return holder.cold(upstream);
+    public boolean isCold(VmId upstream) {
+        return holder.isCold(upstream);
     }
 
     @Override
--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/Node.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/Node.java
@@ -105,7 +105,7 @@
             case Event.LogAppendFailed failed -> onAppendFailed(failed, now);
             case Event.VmListRead read -> onVmList(read.vms(), now);
             case Event.LoadReported reported -> onLoad(reported, now);
-            case Event.LoadRequestFailed missing -> grantOwner.onLoadMissing(missing.upstream(), now, effects);
+            case Event.LoadRequestFailed missing -> grantOwner.onLoadRequestFailed(missing.upstream(), now, effects);
             case Event.ChangeSubmitted submitted -> controlLog.submit(submitted.change(), now, effects);
             case Event.OrderEnded ended -> placement.onOrderEnded(ended.upstream(), ended.accepted(), now, effects);
             case Event.DrainStarted started -> drain.start(started.requestedAt());
@@ -236,7 +236,7 @@
     private void deliverClaimResults(Instant now) {
         for (ClaimResult result : claims.results()) {
             switch (result) {
-                case ClaimResult.Acquired acquired -> dispatcher.onClaimWon(acquired.request(), now, effects);
+                case ClaimResult.Acquired acquired -> dispatcher.onClaimAcquired(acquired.request(), now, effects);
                 case ClaimResult.Recorded recorded ->
                     dispatcher.onClaimRecorded(
                             recorded.request(), recorded.code(), recorded.run(), recorded.output(), now, effects);
--- a/wagtaillug-core/src/main/java/org/wagtaillug/routing/Upstreams.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/routing/Upstreams.java
@@ -22,25 +22,25 @@
     int available(VmId upstream, Instant now);
 
     /** Acquires the allowance for one attempt; false if none is left. */
-    boolean start(VmId upstream, Instant now);
+    boolean tryStart(VmId upstream, Instant now);
 
     /** The latest time at which the attempt that was just started may send its first byte. */
-    Instant startBefore(VmId upstream, Instant now);
+    Instant sendDeadline(VmId upstream, Instant now);
 
     /** Records that an attempt made progress. */
-    void progressed(VmId upstream, Duration sinceStart, Instant now);
+    void onProgress(VmId upstream, Duration sinceStart, Instant now);
 
     /** Returns the allowance and records the outcome of the attempt. */
-    void finished(VmId upstream, UpstreamOutcome finish, Duration took, Instant now);
+    void onFinished(VmId upstream, UpstreamOutcome outcome, Duration took, Instant now);
 
     /** Reports this node's demand: the attempts that would be in flight in a pool without limits. */
-    void want(PoolId pool, int attempts);
+    void setDemand(PoolId pool, int attempts);
 
     /** Whether the upstream is not suspended after failures. */
     boolean usable(VmId upstream, Instant now);
 
     /** Whether the upstream is cold after a recent start. */
-    boolean cold(VmId upstream);
+    boolean isCold(VmId upstream);
 
     /** The number of attempts that this node has in flight at the upstream. */
     int inFlight(VmId upstream);
--- a/wagtaillug-core/src/test/java/org/wagtaillug/dispatch/DispatcherHarness.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/dispatch/DispatcherHarness.java
@@ -100,7 +100,7 @@
 
     DispatcherHarness claimWon(String request) {
         lines.add("> claim won " + request);
-        dispatcher.onClaimWon(new RequestId(request), now, effects);
+        dispatcher.onClaimAcquired(new RequestId(request), now, effects);
         return collect();
     }
 
--- a/wagtaillug-core/src/test/java/org/wagtaillug/dispatch/FakeUpstreams.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/dispatch/FakeUpstreams.java
@@ -62,7 +62,7 @@
     }
 
     @Override
-    public boolean start(VmId upstream, Instant now) {
+    public boolean tryStart(VmId upstream, Instant now) {
         if (available(upstream, now) < 1) {
             return false;
         }
@@ -71,21 +71,21 @@
     }
 
     @Override
-    public Instant startBefore(VmId upstream, Instant now) {
+    public Instant sendDeadline(VmId upstream, Instant now) {
         return now.plusSeconds(2);
     }
 
     @Override
-    public void progressed(VmId upstream, Duration sinceStart, Instant now) {}
+    public void onProgress(VmId upstream, Duration sinceStart, Instant now) {}
 
     @Override
-    public void finished(VmId upstream, UpstreamOutcome finish, Duration took, Instant now) {
+    public void onFinished(VmId upstream, UpstreamOutcome outcome, Duration took, Instant now) {
         inFlight.merge(upstream, -1, Integer::sum);
-        finishes.add(upstream + " " + finish);
+        finishes.add(upstream + " " + outcome);
     }
 
     @Override
-    public void want(PoolId pool, int attempts) {}
+    public void setDemand(PoolId pool, int attempts) {}
 
     @Override
     public boolean usable(VmId upstream, Instant now) {
@@ -93,7 +93,7 @@
     }
 
     @Override
-    public boolean cold(VmId upstream) {
+    public boolean isCold(VmId upstream) {
         return false;
     }
 
--- a/wagtaillug-core/src/test/java/org/wagtaillug/grant/GrantHolderTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/grant/GrantHolderTest.java
@@ -39,7 +39,7 @@
         ownership.members.add(NEXT_OWNER);
         ownership.owner = Optional.of(OWNER);
         holder.onVmList(List.of(vm(false)), START);
-        holder.want(POOL, 1);
+        holder.setDemand(POOL, 1);
     }
 
     private static Vm vm(boolean leaving) {
@@ -128,9 +128,9 @@
     void startsNothingOnceTheGrantHasExpired() {
         Instant expires = START.plusMillis(500);
         reply(asked(OWNER, START), 1, Duration.ofMillis(500), START.plusMillis(300));
-        assertThat(holder.startBefore(ID, START.plusMillis(300))).isEqualTo(expires);
+        assertThat(holder.sendDeadline(ID, START.plusMillis(300))).isEqualTo(expires);
         assertThat(holder.available(ID, expires.minusMillis(1))).isEqualTo(1);
-        assertThat(holder.start(ID, expires)).isFalse();
+        assertThat(holder.tryStart(ID, expires)).isFalse();
     }
 
     /**
@@ -140,14 +140,14 @@
     @Test
     void tellsAFormerOwnerWhatRunsUnderItsGrant() {
         reply(asked(OWNER, START), 1, Duration.ofMillis(500), START);
-        assertThat(holder.start(ID, START)).isTrue();
+        assertThat(holder.tryStart(ID, START)).isTrue();
         ownership.owner = Optional.of(NEXT_OWNER);
         GrantAsk ask = asked(OWNER, START.plusMillis(500));
         assertThat(ask.demands()).singleElement().satisfies(each -> {
             assertThat(each.inUse()).isEqualTo(1);
             assertThat(each.wanted()).isZero();
         });
-        holder.finished(ID, UpstreamOutcome.SUCCEEDED, START.plusMillis(600));
+        holder.onFinished(ID, UpstreamOutcome.SUCCEEDED, START.plusMillis(600));
         reply(ask, 0, Duration.ofSeconds(2), START.plusMillis(600));
         assertThat(asked(OWNER, START.plusMillis(700)).demands()).isEmpty();
     }
@@ -159,8 +159,8 @@
     @Test
     void keepsTheSlotOfASilentRequest() {
         reply(asked(OWNER, START), 1, Duration.ofMillis(500), START);
-        holder.start(ID, START);
-        holder.finished(ID, UpstreamOutcome.FAILED, START);
+        holder.tryStart(ID, START);
+        holder.onFinished(ID, UpstreamOutcome.FAILED, START);
         GrantAsk ask = asked(OWNER, START.plusMillis(500));
         assertThat(ask.demands().get(0).failed()).isTrue();
         assertThat(ask.demands().get(0).inUse()).isEqualTo(1);
@@ -180,13 +180,13 @@
         holder.onVmList(List.of(vm(true)), START);
         assertThat(holder.available(ID, START)).isZero();
         holder.onVmList(List.of(), START);
-        assertThat(holder.start(ID, START)).isFalse();
+        assertThat(holder.tryStart(ID, START)).isFalse();
     }
 
     @Test
     void releasesWhatItNoLongerWants() {
         reply(asked(OWNER, START), 1, Duration.ofSeconds(2), START);
-        holder.want(POOL, 0);
+        holder.setDemand(POOL, 0);
         GrantAsk release = asked(OWNER, START.plusMillis(500));
         assertThat(release.demands().get(0).wanted()).isZero();
         reply(release, 0, Duration.ofSeconds(2), START.plusMillis(510));
--- a/wagtaillug-core/src/test/java/org/wagtaillug/grant/GrantLivenessTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/grant/GrantLivenessTest.java
@@ -73,7 +73,7 @@
         wantEach(simulation, 1);
         simulation.runUntil(20_000);
         for (Member member : simulation.members) {
-            assertThat(member.holder.cold(UPSTREAM)).isFalse();
+            assertThat(member.holder.isCold(UPSTREAM)).isFalse();
             assertThat(member.holder.available(UPSTREAM, member.clock()))
                     .as(member.name)
                     .isPositive();
@@ -98,10 +98,10 @@
         GrantView view = member.holder.view(UPSTREAM, member.clock()).get();
         assertThat(view.fixedShare()).isTrue();
         assertThat(view.allowance()).isEqualTo(2);
-        assertThat(member.holder.startBefore(UPSTREAM, member.clock())).isAfter(member.clock());
+        assertThat(member.holder.sendDeadline(UPSTREAM, member.clock())).isAfter(member.clock());
         Instant afterPause = member.clock().plusMillis(600);
-        assertThat(member.holder.startBefore(UPSTREAM, afterPause)).isEqualTo(afterPause);
-        member.holder.finished(UPSTREAM, UpstreamOutcome.OVERLOADED, member.clock());
+        assertThat(member.holder.sendDeadline(UPSTREAM, afterPause)).isEqualTo(afterPause);
+        member.holder.onFinished(UPSTREAM, UpstreamOutcome.OVERLOADED, member.clock());
         assertThat(member.holder.available(UPSTREAM, member.clock())).isZero();
     }
 
@@ -137,7 +137,7 @@
         wantEach(simulation, 4);
         simulation.runUntil(20_000);
         Member member = simulation.members.get(1);
-        assertThat(member.holder.cold(UPSTREAM)).isFalse();
+        assertThat(member.holder.isCold(UPSTREAM)).isFalse();
         Effects unsent = new Effects();
         member.holder.onTick(member.clock().plusMillis(500), unsent);
         Instant woken = member.clock().plusSeconds(20);
--- a/wagtaillug-core/src/test/java/org/wagtaillug/grant/GrantOwnerTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/grant/GrantOwnerTest.java
@@ -193,10 +193,10 @@
         ask(9, 100, false);
         assertThat(ask(9, 0, true).cold()).isTrue();
         assertThat(ask(9, 4, false).cold()).isFalse();
-        owner.onLoadMissing(ID, now, effects);
-        owner.onLoadMissing(ID, now, effects);
+        owner.onLoadRequestFailed(ID, now, effects);
+        owner.onLoadRequestFailed(ID, now, effects);
         assertThat(ask(9, 4, false).cold()).isFalse();
-        owner.onLoadMissing(ID, now, effects);
+        owner.onLoadRequestFailed(ID, now, effects);
         assertThat(ask(9, 4, false).cold()).isTrue();
     }
 
@@ -256,7 +256,7 @@
         UpstreamGrant grant = new UpstreamGrant(vm(false));
         grant.apply(new GrantOffer(ID, 4, Timing.MAX_GRANT_LIFETIME, false, Optional.empty()), HOLDER, now, now);
         grant.started();
-        grant.finished(UpstreamOutcome.SUCCEEDED, now);
+        grant.onFinished(UpstreamOutcome.SUCCEEDED, now);
         assertThat(grant.demand(1, now.plusSeconds(30)).succeeded()).isEqualTo(1);
         assertThat(grant.demand(1, now.plusSeconds(31)).succeeded()).isZero();
     }
@@ -271,10 +271,10 @@
         grant.apply(new GrantOffer(ID, 2, Timing.MAX_GRANT_LIFETIME, true, startedAt(1)), HOLDER, now, now);
         grant.started();
         grant.apply(new GrantOffer(ID, 2, Timing.MAX_GRANT_LIFETIME, true, startedAt(2)), HOLDER, now, now);
-        grant.finished(UpstreamOutcome.SUCCEEDED, now);
+        grant.onFinished(UpstreamOutcome.SUCCEEDED, now);
         assertThat(grant.demand(1, now).succeeded()).isZero();
         grant.started();
-        grant.finished(UpstreamOutcome.SUCCEEDED, now);
+        grant.onFinished(UpstreamOutcome.SUCCEEDED, now);
         assertThat(grant.demand(1, now).succeeded()).isEqualTo(1);
     }
 
@@ -297,7 +297,7 @@
         view.owner = Optional.of(ownership.self());
         GrantHolder holder = new GrantHolder(view, configuration, new GrantOwner(view, configuration));
         holder.onVmList(upstreams(40), now);
-        holder.want(POOL, wanted);
+        holder.setDemand(POOL, wanted);
         holder.onTick(now, effects);
         Effect.SendToPeer message = (Effect.SendToPeer) effects.drain().getFirst();
         return ((GrantAsk) message.message()).demands().size();
@@ -324,7 +324,7 @@
         holder.onVmList(upstreams(40), now);
         holder.onTick(now, effects);
         assertThat(effects.drain()).isEmpty();
-        holder.want(POOL, 100);
+        holder.setDemand(POOL, 100);
         holder.onTick(now, effects);
         assertThat(effects.drain()).singleElement().satisfies(effect -> {
             Effect.SendToPeer message = (Effect.SendToPeer) effect;
--- a/wagtaillug-core/src/test/java/org/wagtaillug/grant/GrantSimulation.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/grant/GrantSimulation.java
@@ -237,28 +237,28 @@
         }
 
         private void startAttempts() {
-            holder.want(POOL, wanted);
-            while (running < wanted && holder.start(UPSTREAM, clock())) {
+            holder.setDemand(POOL, wanted);
+            while (running < wanted && holder.tryStart(UPSTREAM, clock())) {
                 running++;
                 GrantView state = holder.view(UPSTREAM, clock()).get();
                 Optional<Instant> believedWarm = state.cold()
                         ? Optional.empty()
                         : holder.report(UPSTREAM).map(LoadReport::startedAt);
-                Instant startBefore = holder.startBefore(UPSTREAM, clock());
+                Instant sendDeadline = holder.sendDeadline(UPSTREAM, clock());
                 Attempt attempt = new Attempt(this, holder, believedWarm, state.fixedShare());
-                after(random.nextInt(10), () -> send(attempt, startBefore));
+                after(random.nextInt(10), () -> send(attempt, sendDeadline));
             }
         }
 
-        private void send(Attempt attempt, Instant startBefore) {
+        private void send(Attempt attempt, Instant sendDeadline) {
             if (dead || holder != attempt.holder()) {
                 return;
             }
             if (now < pausedUntil) {
-                deferred.add(() -> send(attempt, startBefore));
+                deferred.add(() -> send(attempt, sendDeadline));
                 return;
             }
-            if (!clock().isBefore(startBefore)) {
+            if (!clock().isBefore(sendDeadline)) {
                 execute(() -> end(attempt, UpstreamOutcome.CANCELLED));
                 return;
             }
@@ -273,7 +273,7 @@
             if (outcome == UpstreamOutcome.SUCCEEDED) {
                 served++;
             }
-            holder.finished(UPSTREAM, outcome, clock());
+            holder.onFinished(UPSTREAM, outcome, clock());
         }
 
         private void applyEffects() {
@@ -483,7 +483,7 @@
                         return;
                     }
                     if (missing) {
-                        asker.onLoadMissing(UPSTREAM, member.clock(), member.effects);
+                        asker.onLoadRequestFailed(UPSTREAM, member.clock(), member.effects);
                     } else {
                         asker.onLoadReport(UPSTREAM, report, member.clock(), member.effects);
                     }
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/upstream/AttemptListener.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/upstream/AttemptListener.java
@@ -49,7 +49,7 @@
      * sending: its allowance may have been given to another node in the meantime, and the upstream would be overloaded.
      */
     void onBegin(Request request) {
-        if (!clock.now().isBefore(attempt.startBefore())) {
+        if (!clock.now().isBefore(attempt.sendDeadline())) {
             expired = true;
             request.abort(new IllegalStateException("the allowance to start the attempt has expired"));
             return;
--- a/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/upstream/AttemptSenderTest.java
+++ b/wagtaillug-daemon/src/test/java/org/wagtaillug/daemon/upstream/AttemptSenderTest.java
@@ -242,7 +242,7 @@
                 attempt.stage(),
                 attempt.upstream(),
                 attempt.input(),
-                attempt.startBefore(),
+                attempt.sendDeadline(),
                 attempt.deadline(),
                 attempt.priority(),
                 attempt.key(),
