--- a/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchOrder.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchOrder.java
@@ -18,7 +18,7 @@
  * @param key the key that a step without inputs works on; empty for one with inputs
  * @param inputs the handles of the results that each item takes as input
  * @param resultBytes the approximate size of the result of one item
- * @param near the failure domain that holds most of its inputs; empty if it has none
+ * @param inputsDomain the failure domain that holds most of its inputs; empty if it has none
  * @param urgency its scheduling priority
  */
 public record BatchOrder(
@@ -30,7 +30,7 @@
         Optional<String> key,
         List<String> inputs,
         long resultBytes,
-        Optional<DomainId> near,
+        Optional<DomainId> inputsDomain,
         Urgency urgency) {
     /** Makes a defensive copy of the list. */
     public BatchOrder {
--- a/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchQueue.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchQueue.java
@@ -130,7 +130,8 @@
     }
 
     private static boolean crossesDomains(QueuedItem item, DomainId serverDomain) {
-        return item.order().near().isPresent() && !item.order().near().get().equals(serverDomain);
+        return item.order().inputsDomain().isPresent()
+                && !item.order().inputsDomain().get().equals(serverDomain);
     }
 
     /**
@@ -141,7 +142,8 @@
     private static boolean canWaitForNearbyServer(QueuedItem item, Set<DomainId> domains, Instant now) {
         Duration callDuration =
                 item.state().contract().callOf(item.state().contract().batch());
-        boolean nearbyServerExists = domains.contains(item.order().near().orElseThrow());
+        boolean nearbyServerExists =
+                domains.contains(item.order().inputsDomain().orElseThrow());
         boolean waitedLessThanOneCall = now.isBefore(item.since().plus(callDuration));
         boolean canMeetTargetLater = now.plus(callDuration.multipliedBy(2))
                 .isBefore(item.order().urgency().targetTime());
--- a/wagtaillug-core/src/main/java/org/wagtaillug/directory/Listing.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/directory/Listing.java
@@ -15,7 +15,7 @@
  * @param port the port on which it listens
  * @param domain its failure domain
  * @param leaving whether it is about to shut down and should get no new work
- * @param coldFor how much longer it is cold and can take only little load
+ * @param remainingColdTime how much longer it is cold and can take only little load
  * @param version the version of its software; empty if not registered
  */
 public record Listing(
@@ -26,5 +26,5 @@
         int port,
         DomainId domain,
         boolean leaving,
-        Duration coldFor,
+        Duration remainingColdTime,
         String version) {}
--- a/wagtaillug-core/src/main/java/org/wagtaillug/directory/UpstreamDirectory.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/directory/UpstreamDirectory.java
@@ -42,7 +42,8 @@
     /** Adds or updates the entry of an upstream. */
     public Change onListing(Listing listing, Instant now) {
         Upstream known = upstreams.get(listing.id());
-        Instant coldUntil = listing.coldFor().isZero() ? Instant.EPOCH : now.plus(listing.coldFor());
+        Instant coldUntil =
+                listing.remainingColdTime().isZero() ? Instant.EPOCH : now.plus(listing.remainingColdTime());
         Upstream upstream = new Upstream(listing, coldUntil);
         if (known != null) {
             byPool.get(known.pool()).remove(known.id());
@@ -97,7 +98,7 @@
     }
 
     /** Treats an upstream as cold after a failed connection, since it may have restarted, until its next listing. */
-    public void onFault(VmId id, Instant coldUntil) {
+    public void onConnectionFailure(VmId id, Instant coldUntil) {
         Upstream known = upstreams.get(id);
         if (known != null && coldUntil.isAfter(known.coldUntil())) {
             Upstream updated = new Upstream(known.listing(), coldUntil);
--- a/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/Dispatcher.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/Dispatcher.java
@@ -134,8 +134,8 @@
         RequestFlow flow = admitted.get();
         flows.put(request.id(), flow);
         admission.onAdmitted(request.customer(), share(request));
-        retries.earn();
-        hedges.earn();
+        retries.onRequest();
+        hedges.onRequest();
         if (flow.idempotent()) {
             enqueue(flow, now, effects);
             return;
--- a/wagtaillug-core/src/main/java/org/wagtaillug/health/StepDurations.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/health/StepDurations.java
@@ -22,7 +22,7 @@
     private record Key(RouteId route, int step) {}
 
     /** Records the duration of a step. */
-    public void onMade(RouteId route, int step, Duration took) {
+    public void onCompleted(RouteId route, int step, Duration took) {
         Deque<Duration> durations = latest.computeIfAbsent(new Key(route, step), key -> new ArrayDeque<>());
         durations.addLast(took);
         if (durations.size() > MAX_SAMPLES) {
--- a/wagtaillug-core/src/main/java/org/wagtaillug/message/ServingMessage.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/message/ServingMessage.java
@@ -78,9 +78,9 @@
      * @param key the key that a step without inputs works on
      * @param inputs the handles of the inputs of each item
      * @param resultBytes the approximate size of one result
-     * @param near the failure domain that holds most of its inputs
+     * @param inputsDomain the failure domain that holds most of its inputs
      * @param rank the priority rank; 0 is served first
-     * @param aimLeft the time until the latency target; negative once it has passed
+     * @param targetTimeLeft the time until the latency target; negative once it has passed
      * @param deadlineLeft the time until the deadline
      */
     record PiecesWanted(
@@ -92,9 +92,9 @@
             Optional<String> key,
             List<String> inputs,
             long resultBytes,
-            Optional<DomainId> near,
+            Optional<DomainId> inputsDomain,
             int rank,
-            Duration aimLeft,
+            Duration targetTimeLeft,
             Duration deadlineLeft)
             implements ServingMessage {}
 
--- a/wagtaillug-core/src/main/java/org/wagtaillug/peer/Peers.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/peer/Peers.java
@@ -180,7 +180,7 @@
      *
      * @param serving whether this node accepts work
      */
-    public VmId holder(String duty, boolean serving, Instant now) {
+    public VmId dutyHolder(String duty, boolean serving, Instant now) {
         List<VmId> holders = holders(duty, 1, serving, now);
         return holders.isEmpty() ? self : holders.getFirst();
     }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/peer/Roster.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/peer/Roster.java
@@ -26,7 +26,7 @@
      * Fleet-wide limits are divided by at least this number, which reserves room for nodes that have not registered
      * yet.
      */
-    private static final int MIN_SHARERS = 12;
+    private static final int MIN_SHARING_NODES = 12;
 
     /**
      * In a mixed fleet, a node with less than this fraction of the largest capacity takes a duty only if no larger node
@@ -96,8 +96,8 @@
     /**
      * The number of nodes among which a fleet-wide limit is divided: all members, or a fixed minimum in a small fleet.
      */
-    public int sharers() {
-        return Math.max(MIN_SHARERS, members.size());
+    public int sharingNodes() {
+        return Math.max(MIN_SHARING_NODES, members.size());
     }
 
     /**
@@ -107,7 +107,7 @@
      *
      * @param senders the number of nodes that may
      */
-    public boolean maySendToCold(VmId upstream, int senders, Instant now) {
+    public boolean allowsColdSend(VmId upstream, int senders, Instant now) {
         if (joinedAt.isEmpty() || now.isBefore(joinedAt.get())) {
             return false;
         }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/retry/AttemptBudget.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/retry/AttemptBudget.java
@@ -28,7 +28,7 @@
     }
 
     /** Adds the tokens of one request. */
-    public void earn() {
+    public void onRequest() {
         tokens = Math.min(MAX_TOKENS, tokens + share);
     }
 
--- a/wagtaillug-core/src/main/java/org/wagtaillug/retry/RetryBudget.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/retry/RetryBudget.java
@@ -16,7 +16,7 @@
     private final Duration window;
     private final double ratio;
     private final double fixed;
-    private final IntSupplier sharers;
+    private final IntSupplier sharingNodes;
     private final Deque<Instant> requests = new ArrayDeque<>();
     private final Deque<Instant> retries = new ArrayDeque<>();
 
@@ -26,13 +26,13 @@
      * @param window the length of the sliding window
      * @param ratio retries per request, 0 to 1
      * @param fixed additional retries, for all nodes together
-     * @param sharers the current number of nodes that share the fixed part
+     * @param sharingNodes the current number of nodes that share the fixed part
      */
-    public RetryBudget(Duration window, double ratio, double fixed, IntSupplier sharers) {
+    public RetryBudget(Duration window, double ratio, double fixed, IntSupplier sharingNodes) {
         this.window = window;
         this.ratio = ratio;
         this.fixed = fixed;
-        this.sharers = sharers;
+        this.sharingNodes = sharingNodes;
     }
 
     /** Records the first attempt of a request. */
@@ -44,7 +44,7 @@
     /** Takes one retry from the budget; false if it is exhausted. */
     public boolean tryAcquire(Instant now) {
         expire(now);
-        if (retries.size() + 1 > ratio * requests.size() + fixed / sharers.getAsInt()) {
+        if (retries.size() + 1 > ratio * requests.size() + fixed / sharingNodes.getAsInt()) {
             return false;
         }
         retries.addLast(now);
--- a/wagtaillug-core/src/main/java/org/wagtaillug/route/CallerLimits.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/route/CallerLimits.java
@@ -12,6 +12,6 @@
  */
 public record CallerLimits(int headerBytes, int bodyBytes, Duration headerTimeout, Duration idleTimeout) {
     /** The defaults for configurations without limits. */
-    public static final CallerLimits DEFAULTS =
+    public static final CallerLimits DEFAULT =
             new CallerLimits(16_384, 4_194_304, Duration.ofSeconds(3), Duration.ofSeconds(15));
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/route/Route.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/route/Route.java
@@ -12,7 +12,7 @@
  *
  * <pre>{@code
  * Route route = Route.builder(new RouteId("lookup"), RouteKind.IDEMPOTENT)
- *         .place("orders.example", "/lookup/")
+ *         .hostAndPath("orders.example", "/lookup/")
  *         .pool(new PoolId("orders"), 1)
  *         .attempts(2)
  *         .build();
@@ -176,7 +176,7 @@
         }
 
         /** Sets the host and the path prefix, which begins and ends with a slash. */
-        public Builder place(String newHost, String newPathPrefix) {
+        public Builder hostAndPath(String newHost, String newPathPrefix) {
             host = newHost;
             pathPrefix = newPathPrefix;
             return this;
@@ -195,7 +195,7 @@
         }
 
         /** Sets the timeout and the latency target. */
-        public Builder times(Duration newTimeout, Duration newLatencyTarget) {
+        public Builder timeouts(Duration newTimeout, Duration newLatencyTarget) {
             timeout = newTimeout;
             latencyTarget = newLatencyTarget;
             return this;
--- a/wagtaillug-core/src/main/java/org/wagtaillug/route/Step.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/route/Step.java
@@ -8,12 +8,12 @@
  *
  * @param number its position in the route, from 0
  * @param pool the pool whose servers execute it
- * @param after the numbers of the steps whose results are its inputs
+ * @param predecessors the numbers of the steps whose results are its inputs
  * @param resultBytes the approximate size of the result of one item
  */
-public record Step(int number, PoolId pool, List<Integer> after, long resultBytes) {
+public record Step(int number, PoolId pool, List<Integer> predecessors, long resultBytes) {
     /** Makes a defensive copy of the list. */
     public Step {
-        after = List.copyOf(after);
+        predecessors = List.copyOf(predecessors);
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/routing/UpstreamLimits.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/routing/UpstreamLimits.java
@@ -37,13 +37,13 @@
 
     /** Whether one more request may go to an upstream where this node has so many in flight. */
     boolean allow(PoolProfile pool, Upstream upstream, int inFlight, Instant now) {
-        if (inFlight >= Math.max(1, pool.connections() / roster.sharers())) {
+        if (inFlight >= Math.max(1, pool.connections() / roster.sharingNodes())) {
             return false;
         }
         if (pool.coldPerSecond() <= 0 || !upstream.cold(now)) {
             return true;
         }
-        return warmupLimiter.allows(upstream.id(), now) && roster.maySendToCold(upstream.id(), coldSenders(pool), now);
+        return warmupLimiter.allows(upstream.id(), now) && roster.allowsColdSend(upstream.id(), coldSenders(pool), now);
     }
 
     /** Each node sends at most one request in any second, so the limit on requests is a limit on sending nodes. */
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/BranchTiming.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/BranchTiming.java
@@ -52,7 +52,7 @@
         Optional<Duration> path = durations.longest(flow.route().id(), step.number());
         Duration longest = Duration.ZERO;
         for (Step next : flow.steps()) {
-            if (next.after().contains(step.number())) {
+            if (next.predecessors().contains(step.number())) {
                 Optional<Duration> following = criticalPath(flow, next, known);
                 path = following.isEmpty() ? Optional.empty() : path;
                 longest = longer(longest, following.orElse(Duration.ZERO));
@@ -89,7 +89,7 @@
             Flow flow, Step step, Instant now, Map<Integer, Optional<Duration>> known) {
         Duration longest = Duration.ZERO;
         for (Step predecessor : flow.steps()) {
-            if (!step.after().contains(predecessor.number())) {
+            if (!step.predecessors().contains(predecessor.number())) {
                 continue;
             }
             Optional<Duration> remaining = remainingFor(flow, predecessor, now, known);
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/Flow.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/Flow.java
@@ -129,7 +129,7 @@
     }
 
     private boolean inputsComplete(Step step) {
-        for (int before : step.after()) {
+        for (int before : step.predecessors()) {
             if (request.itemsOf(before) > 0 && !results.containsKey(before)) {
                 return false;
             }
@@ -180,7 +180,7 @@
             return true;
         }
         for (Step next : steps()) {
-            if (next.after().contains(step.number()) && isOrPrecedes(next, later)) {
+            if (next.predecessors().contains(step.number()) && isOrPrecedes(next, later)) {
                 return true;
             }
         }
@@ -190,7 +190,7 @@
     /** The inputs of a step: all results of its direct predecessors. */
     List<StepResult> inputResults(Step step) {
         List<StepResult> inputs = new ArrayList<>();
-        for (int before : step.after()) {
+        for (int before : step.predecessors()) {
             inputs.addAll(results.getOrDefault(before, List.of()));
         }
         return inputs;
@@ -199,7 +199,7 @@
     /** Estimate of the bytes that the servers of a step fetch: each item fetches all inputs. */
     long estimatedInputBytes(Step step) {
         long bytes = 0;
-        for (int before : step.after()) {
+        for (int before : step.predecessors()) {
             bytes += route.steps().get(before).resultBytes() * request.itemsOf(before);
         }
         return bytes * request.itemsOf(step.number());
@@ -254,7 +254,7 @@
 
     private boolean hasSuccessor(Step step) {
         for (Step other : steps()) {
-            if (other.after().contains(step.number())) {
+            if (other.predecessors().contains(step.number())) {
                 return true;
             }
         }
@@ -264,10 +264,10 @@
     /** The results that no step needs once a given step is completed; each result is returned once. */
     List<StepResult> releasableAfter(Step completed) {
         List<StepResult> releasable = new ArrayList<>();
-        for (int before : completed.after()) {
+        for (int before : completed.predecessors()) {
             boolean unneeded = true;
             for (Step other : steps()) {
-                unneeded &= !other.after().contains(before) || results.containsKey(other.number());
+                unneeded &= !other.predecessors().contains(before) || results.containsKey(other.number());
             }
             if (unneeded) {
                 releasable.addAll(release(before));
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/FlowSteps.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/FlowSteps.java
@@ -125,7 +125,7 @@
     Optional<DomainId> domainOf(List<StepResult> results) {
         Map<DomainId, Integer> counts = new HashMap<>();
         for (StepResult result : results) {
-            directory.find(result.server()).ifPresent(maker -> counts.merge(maker.domain(), 1, Integer::sum));
+            directory.find(result.server()).ifPresent(server -> counts.merge(server.domain(), 1, Integer::sum));
         }
         return counts.entrySet().stream().max(Map.Entry.comparingByValue()).map(Map.Entry::getKey);
     }
@@ -141,7 +141,7 @@
     void onStepCompleted(Flow flow, StepOrders.Answer answer, List<StepResult> results) {
         int step = answer.order().step();
         schedulers.computeIfAbsent(flow.request().id(), id -> new HashMap<>()).put(step, answer.scheduler());
-        durations.onMade(flow.route().id(), step, answer.took());
+        durations.onCompleted(flow.route().id(), step, answer.took());
         flow.complete(step, results, answer.took());
         release(flow, flow.releasableAfter(flow.route().steps().get(step)));
     }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/PathEstimate.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/PathEstimate.java
@@ -65,7 +65,7 @@
         }
         Path inputs = Path.NONE;
         for (Step predecessor : flow.steps()) {
-            if (step.after().contains(predecessor.number())) {
+            if (step.predecessors().contains(predecessor.number())) {
                 inputs = inputs.max(pathTo(flow, predecessor, configuration, waitTimes, known));
             }
         }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/PeerMembership.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/PeerMembership.java
@@ -79,7 +79,7 @@
 
     /** Returns the node that coordinates rollouts. */
     VmId rolloutCoordinator(Instant now) {
-        return peers.holder(ROLLOUT_DUTY, acceptsWork.getAsBoolean(), now);
+        return peers.dutyHolder(ROLLOUT_DUTY, acceptsWork.getAsBoolean(), now);
     }
 
     private void updateDuties() {
@@ -151,7 +151,7 @@
         if (rosterKnown) {
             // Expiring members is left to the first feed reader of each failure domain, which is monitored anyway.
             boolean expires =
-                    peers.holder(FEED_DUTY, acceptsWork.getAsBoolean(), now).equals(self.vm());
+                    peers.dutyHolder(FEED_DUTY, acceptsWork.getAsBoolean(), now).equals(self.vm());
             for (Registration.Write write : registration.due(expires, now)) {
                 effects.accept(new ServingEffect.WriteRecord(
                         FeedName.MEMBERSHIP, write.member().value(), write.value()));
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/RequestFlows.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/RequestFlows.java
@@ -221,7 +221,8 @@
     private RetryBudget budget(PoolId pool) {
         return budgets.computeIfAbsent(
                 pool,
-                id -> new RetryBudget(retryLimits.window(), retryLimits.ratio(), retryLimits.fixed(), roster::sharers));
+                id -> new RetryBudget(
+                        retryLimits.window(), retryLimits.ratio(), retryLimits.fixed(), roster::sharingNodes));
     }
 
     /** Orders the steps that are due, or sends the request when all steps are completed. */
@@ -461,7 +462,7 @@
     /** After a fault the upstream may have restarted and counts as cold until its directory entry says otherwise. */
     private void recordFault(Upstream upstream, Duration took, Instant now) {
         health.onEnded(upstream.id(), Optional.empty(), took, false, now);
-        directory.onFault(upstream.id(), now.plus(ASSUMED_COLD_AFTER_FAULT));
+        directory.onConnectionFailure(upstream.id(), now.plus(ASSUMED_COLD_AFTER_FAULT));
     }
 
     private void onNotRun(Flow flow, int status, Instant now) {
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/Serving.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/Serving.java
@@ -301,7 +301,7 @@
                     flows.onRestarted(listing.id());
                 }
                 logUpstream(listing.id(), change, record);
-                return !known || !listing.coldFor().isZero();
+                return !known || !listing.remainingColdTime().isZero();
             }
             case DirectoryItem.Removed removed -> remove(removed.upstream(), record, storeUnstable, now);
             case DirectoryItem.Unreadable unreadable -> {
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/ServingEffect.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/ServingEffect.java
@@ -89,10 +89,10 @@
      * Tell a stage server that results are no longer needed.
      *
      * @param release number of the release, unique within a run of the node
-     * @param maker the server that holds the results
+     * @param server the server that holds the results
      * @param handles handles of the results
      */
-    record ReleaseResults(long release, Listing maker, List<String> handles) implements ServingEffect {}
+    record ReleaseResults(long release, Listing server, List<String> handles) implements ServingEffect {}
 
     /**
      * Send a message to another node; it may be lost.
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/StepOrders.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/StepOrders.java
@@ -134,7 +134,7 @@
 
     private VmId schedulerOf(PoolId pool, Instant now) {
         return sharesScheduling
-                ? peers.holder(PeerMembership.scheduling(pool), acceptsWork.getAsBoolean(), now)
+                ? peers.dutyHolder(PeerMembership.scheduling(pool), acceptsWork.getAsBoolean(), now)
                 : self.vm();
     }
 
@@ -156,7 +156,7 @@
                         order.key(),
                         order.inputs(),
                         order.resultBytes(),
-                        order.near(),
+                        order.inputsDomain(),
                         order.urgency().rank(),
                         Duration.between(now, order.urgency().targetTime()),
                         Duration.between(now, order.urgency().deadline()))));
@@ -195,8 +195,8 @@
 
     /** Accepts an order of another node. */
     void onWanted(NodeId sender, ServingMessage.PiecesWanted wanted, BatchContract contract, Instant now) {
-        BatchOrder.Urgency urgency =
-                new BatchOrder.Urgency(wanted.rank(), now.plus(wanted.aimLeft()), now.plus(wanted.deadlineLeft()));
+        BatchOrder.Urgency urgency = new BatchOrder.Urgency(
+                wanted.rank(), now.plus(wanted.targetTimeLeft()), now.plus(wanted.deadlineLeft()));
         BatchOrder order = new BatchOrder(
                 new OrderId(sender, wanted.number()),
                 wanted.request(),
@@ -206,7 +206,7 @@
                 wanted.key(),
                 wanted.inputs(),
                 wanted.resultBytes(),
-                wanted.near(),
+                wanted.inputsDomain(),
                 urgency);
         scheduler.onOrder(order, contract, now);
     }
@@ -318,8 +318,8 @@
         }
 
         @Override
-        public void release(long number, Listing maker, List<String> handles) {
-            effects.accept(new ServingEffect.ReleaseResults(number, maker, handles));
+        public void release(long number, Listing server, List<String> handles) {
+            effects.accept(new ServingEffect.ReleaseResults(number, server, handles));
         }
 
         @Override
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/StepTimes.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/StepTimes.java
@@ -34,8 +34,8 @@
 
     Urgency urgency(Flow flow, Step step, ServingConfiguration configuration, Instant now) {
         Duration remaining = timeAfter(flow, step, configuration).plus(engineTime(flow, now));
-        Instant aim = flow.arrivedAt().plus(flow.route().latencyTarget()).minus(remaining);
-        return new Urgency(flow.rank(), aim, flow.firstEventDeadline().minus(remaining));
+        Instant targetTime = flow.arrivedAt().plus(flow.route().latencyTarget()).minus(remaining);
+        return new Urgency(flow.rank(), targetTime, flow.firstEventDeadline().minus(remaining));
     }
 
     /** The expected time of an engine to the first event of the answer. */
@@ -52,7 +52,7 @@
     private static Duration timeAfter(Flow flow, Step step, ServingConfiguration configuration) {
         Duration longest = Duration.ZERO;
         for (Step next : flow.steps()) {
-            if (next.after().contains(step.number())) {
+            if (next.predecessors().contains(step.number())) {
                 Duration path = duration(flow, next, configuration).plus(timeAfter(flow, next, configuration));
                 longest = path.compareTo(longest) > 0 ? path : longest;
             }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/batch/BatchSchedulerRandomTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/batch/BatchSchedulerRandomTest.java
@@ -113,7 +113,7 @@
             lastNumber++;
             OrderId id = new OrderId(new NodeId(new VmId("node"), 1), lastNumber);
             outcomeCounts.put(id, 0);
-            Instant aim = now.plusMillis(200 + random.nextInt(2000));
+            Instant targetTime = now.plusMillis(200 + random.nextInt(2000));
             scheduler.onOrder(
                     new BatchOrder(
                             id,
@@ -125,7 +125,7 @@
                             List.of(),
                             itemBytes,
                             Optional.empty(),
-                            new BatchOrder.Urgency(rank, aim, aim.plusSeconds(5))),
+                            new BatchOrder.Urgency(rank, targetTime, targetTime.plusSeconds(5))),
                     contract,
                     now);
         }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/batch/BatchSchedulerTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/batch/BatchSchedulerTest.java
@@ -66,7 +66,7 @@
         directory.onListing(new Listing(new VmId(id), 1, POOL, "10.0.0.1", 80, domain, false, Duration.ZERO, ""), now);
     }
 
-    private long order(int items, int rank, Duration aim, long bytes, Optional<DomainId> near) {
+    private long order(int items, int rank, Duration latencyTarget, long bytes, Optional<DomainId> near) {
         lastNumber++;
         scheduler.onOrder(
                 new BatchOrder(
@@ -80,7 +80,9 @@
                         bytes,
                         near,
                         new BatchOrder.Urgency(
-                                rank, now.plus(aim), now.plus(aim).plusSeconds(4))),
+                                rank,
+                                now.plus(latencyTarget),
+                                now.plus(latencyTarget).plusSeconds(4))),
                 CONTRACT,
                 now);
         return lastNumber;
--- a/wagtaillug-core/src/test/java/org/wagtaillug/directory/UpstreamDirectoryTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/directory/UpstreamDirectoryTest.java
@@ -67,7 +67,7 @@
     @Test
     void afterAConnectionFailureAnUpstreamIsColdUntilItsNextListing() {
         directory.onListing(listing(1, false), NOW);
-        directory.onFault(ID, NOW.plusSeconds(2));
+        directory.onConnectionFailure(ID, NOW.plusSeconds(2));
         assertThat(directory.find(ID).orElseThrow().cold(NOW.plusSeconds(1))).isTrue();
         directory.onListing(listing(1, false), NOW.plusSeconds(1));
         assertThat(directory.find(ID).orElseThrow().cold(NOW.plusSeconds(1))).isFalse();
--- a/wagtaillug-core/src/test/java/org/wagtaillug/peer/PeersTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/peer/PeersTest.java
@@ -88,7 +88,7 @@
         Set<VmId> holders = new HashSet<>();
         for (VmId id : ids) {
             if (!stopped.contains(id)) {
-                holders.add(nodes.get(id).holder(duty, true, now));
+                holders.add(nodes.get(id).dutyHolder(duty, true, now));
             }
         }
         return holders;
--- a/wagtaillug-core/src/test/java/org/wagtaillug/routing/UpstreamChooserTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/routing/UpstreamChooserTest.java
@@ -114,7 +114,7 @@
     @Test
     void noServerGetsMoreConnectionsThanThisNodesShare() {
         for (int number = 1; number <= 8; number++) {
-            for (int count = 0; count < 110 / roster.sharers(); count++) {
+            for (int count = 0; count < 110 / roster.sharingNodes(); count++) {
                 health.onStarted(new VmId("i-" + number), NOW);
             }
         }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/BranchTimingTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/BranchTimingTest.java
@@ -53,7 +53,7 @@
 
     private void recordDurations(int step, int... millis) {
         for (int each : millis) {
-            durations.onMade(ROUTE.id(), step, Duration.ofMillis(each));
+            durations.onCompleted(ROUTE.id(), step, Duration.ofMillis(each));
         }
     }
 
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/LoadWorld.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/LoadWorld.java
@@ -83,16 +83,23 @@
         final double perSecond;
         final double value;
         final double lateValue;
-        final int aimMillis;
+        final int latencyTargetMillis;
         final int deadlineMillis;
         final int rank;
         final int tokens;
 
-        RequestKind(double perSecond, double value, double lateValue, int aim, int deadline, int rank, int tokens) {
+        RequestKind(
+                double perSecond,
+                double value,
+                double lateValue,
+                int latencyTarget,
+                int deadline,
+                int rank,
+                int tokens) {
             this.perSecond = perSecond;
             this.value = value;
             this.lateValue = lateValue;
-            this.aimMillis = aim;
+            this.latencyTargetMillis = latencyTarget;
             this.deadlineMillis = deadline;
             this.rank = rank;
             this.tokens = tokens;
@@ -235,9 +242,9 @@
         List<Route> routes = new ArrayList<>();
         for (RequestKind kind : RequestKind.values()) {
             Route.Builder route = Route.builder(new RouteId(kind.name()), RouteKind.STREAM)
-                    .place("club.example", "/" + kind.name() + "/")
-                    .times(Duration.ofMillis(kind.deadlineMillis), Duration.ofMillis(kind.aimMillis))
-                    .firstEventWithin(Duration.ofMillis(Math.max(2000, 4L * kind.aimMillis)))
+                    .hostAndPath("club.example", "/" + kind.name() + "/")
+                    .timeouts(Duration.ofMillis(kind.deadlineMillis), Duration.ofMillis(kind.latencyTargetMillis))
+                    .firstEventWithin(Duration.ofMillis(Math.max(2000, 4L * kind.latencyTargetMillis)))
                     .rank(kind.rank)
                     .open(true)
                     .pool(MODEL, 1);
@@ -249,7 +256,7 @@
         pools.put(RETRIEVE, stage(RETRIEVE, 17, 7.529, 2_805_000));
         pools.put(RERANK, stage(RERANK, 44, 2.9545, 783_200));
         pools.put(MODEL, new PoolProfile(MODEL, 370, 0, Optional.empty(), true));
-        return new ServingConfiguration(1, new RouteTable(routes), pools, CallerLimits.DEFAULTS, Map.of());
+        return new ServingConfiguration(1, new RouteTable(routes), pools, CallerLimits.DEFAULT, Map.of());
     }
 
     private static PoolProfile stage(PoolId pool, int batch, double itemMillis, long room) {
@@ -379,7 +386,7 @@
     }
 
     private void release(ServingEffect.ReleaseResults release) {
-        StageServer server = servers.get(release.maker().id());
+        StageServer server = servers.get(release.server().id());
         schedule(now.plus(ROUND_TRIP), () -> {
             release.handles().forEach(handle -> free(server, handle));
             handle(new ServingEvent.ReleaseEnded(release.release(), true));
@@ -400,7 +407,7 @@
 
     private void recordAnswer(SentRequest request, Duration took) {
         Tally tally = tallies.get(request.kind());
-        if (took.toMillis() <= request.kind().aimMillis) {
+        if (took.toMillis() <= request.kind().latencyTargetMillis) {
             tally.value += request.kind().value;
         } else if (took.toMillis() <= request.kind().deadlineMillis) {
             tally.value += request.kind().lateValue;
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/PathEstimateTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/PathEstimateTest.java
@@ -45,7 +45,7 @@
         for (PoolId pool : List.of(FIRST, SECOND)) {
             pools.put(pool, new PoolProfile(pool, 10, 0, Optional.of(contract), false));
         }
-        return new ServingConfiguration(1, new RouteTable(List.of(ROUTE)), pools, CallerLimits.DEFAULTS, Map.of());
+        return new ServingConfiguration(1, new RouteTable(List.of(ROUTE)), pools, CallerLimits.DEFAULT, Map.of());
     }
 
     private PathEstimate.Path estimate(int waitOfFirst, int waitOfSecond) {
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingWorld.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingWorld.java
@@ -181,8 +181,8 @@
         write(FeedName.CONFIGURATION, "config", new ConfigurationItem.Published(configuration));
     }
 
-    void register(String id, PoolId pool, DomainId domain, boolean leaving, Duration coldFor) {
-        Listing listing = new Listing(new VmId(id), 1, pool, "10.0.0.1", 80, domain, leaving, coldFor, "");
+    void register(String id, PoolId pool, DomainId domain, boolean leaving, Duration remainingColdTime) {
+        Listing listing = new Listing(new VmId(id), 1, pool, "10.0.0.1", 80, domain, leaving, remainingColdTime, "");
         write(FeedName.DIRECTORY, id, new DirectoryItem.Listed(listing));
     }
 
@@ -254,13 +254,13 @@
         pools.put(MODEL, new PoolProfile(MODEL, 120, 8, Optional.empty(), true));
         Customer office = new Customer(new CustomerId("office"), OptionalInt.empty());
         return new ServingConfiguration(
-                version, new RouteTable(routes), pools, CallerLimits.DEFAULTS, Map.of(KEY, office));
+                version, new RouteTable(routes), pools, CallerLimits.DEFAULT, Map.of(KEY, office));
     }
 
     private static Route.Builder route(String name, RouteKind kind, int attempts, boolean resumable, Duration timeout) {
         return Route.builder(new RouteId(name), kind)
-                .place("shop.example", "/" + name + "/")
-                .times(timeout, Duration.ofMillis(1500))
+                .hostAndPath("shop.example", "/" + name + "/")
+                .timeouts(timeout, Duration.ofMillis(1500))
                 .firstEventWithin(Duration.ofSeconds(5))
                 .attempts(attempts)
                 .resumable(resumable);
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/BatchCaller.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/BatchCaller.java
@@ -63,7 +63,7 @@
 
     /** Tells a server that results are no longer needed; one event reports whether the server has confirmed it. */
     void release(ServingEffect.ReleaseResults release) {
-        request(release.maker(), translation.releasePath(), translation.encodeRelease(release.handles()))
+        request(release.server(), translation.releasePath(), translation.encodeRelease(release.handles()))
                 .timeout(RELEASE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
                 .send(result -> {
                     boolean confirmed =
@@ -72,7 +72,7 @@
                         LOGGER.log(
                                 Level.INFO,
                                 "{0} did not confirm the release of {1} results: {2}",
-                                release.maker().id(),
+                                release.server().id(),
                                 release.handles().size(),
                                 FailureText.of(result.getFailure()));
                     }
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/RoutedHandler.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/RoutedHandler.java
@@ -29,7 +29,7 @@
     private final CallerConnections connections;
     private final Consumer<ServingEvent> events;
     private final Set<PendingBody> pendingBodies = ConcurrentHashMap.newKeySet();
-    private volatile CallerLimits limits = CallerLimits.DEFAULTS;
+    private volatile CallerLimits limits = CallerLimits.DEFAULT;
 
     RoutedHandler(
             CallerTranslation translation,
--- a/wagtaillug-link/src/main/java/org/wagtaillug/link/ServingCodec.java
+++ b/wagtaillug-link/src/main/java/org/wagtaillug/link/ServingCodec.java
@@ -229,10 +229,10 @@
                 .addAllInputs(wanted.inputs())
                 .setResultBytes(wanted.resultBytes())
                 .setRank(wanted.rank())
-                .setAimLeft(wanted.aimLeft().toMillis())
+                .setAimLeft(wanted.targetTimeLeft().toMillis())
                 .setDeadlineLeft(wanted.deadlineLeft().toMillis());
         wanted.key().ifPresent(message::setKey);
-        wanted.near().ifPresent(domain -> message.setNear(domain.value()));
+        wanted.inputsDomain().ifPresent(domain -> message.setNear(domain.value()));
         return message.build();
     }
 
