--- a/wagtaillug-core/src/main/java/org/wagtaillug/rollout/RolloutPlan.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/rollout/RolloutPlan.java
@@ -9,9 +9,9 @@
  */
 final class RolloutPlan {
     /** As a fraction of the time that the operator allows for the rollout, as are the following values. */
-    private static final double SHORTEST_CANARY = 0.42;
+    private static final double MIN_CANARY_FRACTION = 0.42;
 
-    private static final double LONGEST_CANARY = 0.6;
+    private static final double MAX_CANARY_FRACTION = 0.6;
     private static final double QUARTER_DURATION = 0.06;
     private static final double HALF_DURATION = 0.06;
     private static final double COMPLETE_AT = 0.88;
@@ -81,8 +81,8 @@
             return sinceChange.compareTo(fractionOf(order, QUARTER_DURATION)) >= 0 ? HALF : status.share();
         }
         boolean seenEnough =
-                comparison.candidates() >= MIN_ANSWERS && elapsed.compareTo(fractionOf(order, SHORTEST_CANARY)) >= 0;
-        boolean outOfTime = elapsed.compareTo(fractionOf(order, LONGEST_CANARY)) >= 0;
+                comparison.candidates() >= MIN_ANSWERS && elapsed.compareTo(fractionOf(order, MIN_CANARY_FRACTION)) >= 0;
+        boolean outOfTime = elapsed.compareTo(fractionOf(order, MAX_CANARY_FRACTION)) >= 0;
         return seenEnough || outOfTime ? QUARTER : status.share();
     }
 
