--- a/wagtaillug-core/src/main/java/org/wagtaillug/claim/Refusals.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/claim/Refusals.java
@@ -52,7 +52,7 @@
                 RETRY_SOON,
                 "the node is shutting down and key " + key.identity()
                         + " was not claimed; this request was not and will not be run, but an earlier one with the key may"
-                        + " have been; retry with the same key at another node");
+                        + " have been; retry with the same key on another node");
     }
 
     static Refusal tooOld(IdempotencyKey key) {
--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/Node.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/Node.java
@@ -158,13 +158,13 @@
     /** The reason why the node accepts no requests at all; empty while it accepts them. */
     private Optional<Refusal> admissionRefusal(Instant now) {
         if (drain.refuses(now)) {
-            return refuse(ResultCode.SHUTTING_DOWN, "the node is shutting down; use another node");
+            return refuse(ResultCode.SHUTTING_DOWN, "the node is shutting down; retry on another node");
         }
         if (!controlLog.complete() || !directory.isLoaded()) {
             return refuse(ResultCode.NOT_READY, "the node has not read the complete configuration yet");
         }
         if (members.viewStatus(now) == ViewStatus.CUT_OFF) {
-            return refuse(ResultCode.NODE_CUT_OFF, "the node is cut off from configuration changes; use another node");
+            return refuse(ResultCode.NODE_CUT_OFF, "the node is cut off from configuration changes; retry on another node");
         }
         return Optional.empty();
     }
