--- a/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/AttemptEnd.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/AttemptEnd.java
@@ -29,6 +29,6 @@
      */
     record Failed(boolean byteLeft, String message) implements AttemptEnd {}
 
-    /** It was not sent before its start limit; see {@link Attempt#sendDeadline()}. */
+    /** It was not sent before its send deadline; see {@link Attempt#sendDeadline()}. */
     record NotStarted() implements AttemptEnd {}
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/Node.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/Node.java
@@ -164,7 +164,8 @@
             return refuse(ResultCode.NOT_READY, "the node has not read the complete configuration yet");
         }
         if (members.viewStatus(now) == ViewStatus.CUT_OFF) {
-            return refuse(ResultCode.NODE_CUT_OFF, "the node is cut off from configuration changes; retry on another node");
+            return refuse(
+                    ResultCode.NODE_CUT_OFF, "the node is cut off from configuration changes; retry on another node");
         }
         return Optional.empty();
     }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/rollout/RolloutPlan.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/rollout/RolloutPlan.java
@@ -80,8 +80,8 @@
         if (status.share() >= QUARTER) {
             return sinceChange.compareTo(fractionOf(order, QUARTER_DURATION)) >= 0 ? HALF : status.share();
         }
-        boolean seenEnough =
-                comparison.candidates() >= MIN_ANSWERS && elapsed.compareTo(fractionOf(order, MIN_CANARY_FRACTION)) >= 0;
+        boolean seenEnough = comparison.candidates() >= MIN_ANSWERS
+                && elapsed.compareTo(fractionOf(order, MIN_CANARY_FRACTION)) >= 0;
         boolean outOfTime = elapsed.compareTo(fractionOf(order, MAX_CANARY_FRACTION)) >= 0;
         return seenEnough || outOfTime ? QUARTER : status.share();
     }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/routing/Upstreams.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/routing/Upstreams.java
@@ -10,7 +10,10 @@
 import org.wagtaillug.id.VmId;
 import org.wagtaillug.membership.Vm;
 
-/** The state of the upstreams and of this node's allowances for them, as used by routing. */
+/**
+ * The state of the upstreams and of this node's allowances for them, as used by routing and dispatch. Implemented in the
+ * {@code node} package.
+ */
 public interface Upstreams {
     /** The upstreams of a pool that accept new work: listed, not draining and not taken out of service by operators. */
     List<Vm> inPool(PoolId pool);
@@ -24,7 +27,7 @@
     /** Acquires the allowance for one attempt; false if none is left. */
     boolean tryStart(VmId upstream, Instant now);
 
-    /** The latest time at which the attempt that was just started may send its first byte. */
+    /** The time before which the attempt that was just started must send its first byte, or else not be sent at all. */
     Instant sendDeadline(VmId upstream, Instant now);
 
     /** Records that an attempt made progress. */
