--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/Node.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/Node.java
@@ -105,7 +105,7 @@
             case Event.LogAppendFailed failed -> onAppendFailed(failed, now);
             case Event.VmListRead read -> onVmList(read.vms(), now);
             case Event.LoadReported reported -> onLoad(reported, now);
-            case Event.LoadRequestFailed missing -> grantOwner.onLoadMissing(missing.upstream(), now, effects);
+            case Event.LoadRequestFailed missing -> grantOwner.onLoadRequestFailed(missing.upstream(), now, effects);
             case Event.ChangeSubmitted submitted -> controlLog.submit(submitted.change(), now, effects);
             case Event.OrderEnded ended -> placement.onOrderEnded(ended.upstream(), ended.accepted(), now, effects);
             case Event.DrainStarted started -> drain.start(started.requestedAt());
@@ -158,13 +158,14 @@
     /** The reason why the node accepts no requests at all; empty while it accepts them. */
     private Optional<Refusal> admissionRefusal(Instant now) {
         if (drain.refuses(now)) {
-            return refuse(ResultCode.SHUTTING_DOWN, "the node is shutting down; use another node");
+            return refuse(ResultCode.SHUTTING_DOWN, "the node is shutting down; retry on another node");
         }
         if (!controlLog.complete() || !directory.isLoaded()) {
             return refuse(ResultCode.NOT_READY, "the node has not read the complete configuration yet");
         }
         if (members.viewStatus(now) == ViewStatus.CUT_OFF) {
-            return refuse(ResultCode.NODE_CUT_OFF, "the node is cut off from configuration changes; use another node");
+            return refuse(
+                    ResultCode.NODE_CUT_OFF, "the node is cut off from configuration changes; retry on another node");
         }
         return Optional.empty();
     }
@@ -236,7 +237,7 @@
     private void deliverClaimResults(Instant now) {
         for (ClaimResult result : claims.results()) {
             switch (result) {
-                case ClaimResult.Acquired acquired -> dispatcher.onClaimWon(acquired.request(), now, effects);
+                case ClaimResult.Acquired acquired -> dispatcher.onClaimAcquired(acquired.request(), now, effects);
                 case ClaimResult.Recorded recorded ->
                     dispatcher.onClaimRecorded(
                             recorded.request(), recorded.code(), recorded.run(), recorded.output(), now, effects);
--- a/wagtaillug-core/src/main/java/org/wagtaillug/routing/Upstreams.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/routing/Upstreams.java
@@ -10,7 +10,10 @@
 import org.wagtaillug.id.VmId;
 import org.wagtaillug.membership.Vm;
 
-/** The state of the upstreams and of this node's allowances for them, as used by routing. */
+/**
+ * The state of the upstreams and of this node's allowances for them, as used by routing and dispatch. Implemented in the
+ * {@code node} package.
+ */
 public interface Upstreams {
     /** The upstreams of a pool that accept new work: listed, not draining and not taken out of service by operators. */
     List<Vm> inPool(PoolId pool);
@@ -22,25 +25,25 @@
     int available(VmId upstream, Instant now);
 
     /** Acquires the allowance for one attempt; false if none is left. */
-    boolean start(VmId upstream, Instant now);
+    boolean tryStart(VmId upstream, Instant now);
 
-    /** The latest time at which the attempt that was just started may send its first byte. */
-    Instant startBefore(VmId upstream, Instant now);
+    /** The time before which the attempt that was just started must send its first byte, or else not be sent at all. */
+    Instant sendDeadline(VmId upstream, Instant now);
 
     /** Records that an attempt made progress. */
-    void progressed(VmId upstream, Duration sinceStart, Instant now);
+    void onProgress(VmId upstream, Duration sinceStart, Instant now);
 
     /** Returns the allowance and records the outcome of the attempt. */
-    void finished(VmId upstream, UpstreamOutcome finish, Duration took, Instant now);
+    void onFinished(VmId upstream, UpstreamOutcome outcome, Duration took, Instant now);
 
     /** Reports this node's demand: the attempts that would be in flight in a pool without limits. */
-    void want(PoolId pool, int attempts);
+    void setDemand(PoolId pool, int attempts);
 
     /** Whether the upstream is not suspended after failures. */
     boolean usable(VmId upstream, Instant now);
 
     /** Whether the upstream is cold after a recent start. */
-    boolean cold(VmId upstream);
+    boolean isCold(VmId upstream);
 
     /** The number of attempts that this node has in flight at the upstream. */
     int inFlight(VmId upstream);
