--- a/wagtaillug-core/src/main/java/org/wagtaillug/message/ServingMessage.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/message/ServingMessage.java
@@ -83,7 +83,7 @@
      * @param aimLeft the time until the latency target; negative once it has passed
      * @param deadlineLeft the time until the deadline
      */
-    record PiecesWanted(
+    record BatchRequest(
             long number,
             RequestId request,
             int step,
@@ -99,19 +99,19 @@
             implements ServingMessage {}
 
     /**
-     * The response to {@link PiecesWanted}.
+     * The response to {@link BatchRequest}.
      *
      * @param number the number of the order
      * @param outcome the outcome of the order
      */
-    record PiecesAnswered(long number, BatchOutcome outcome) implements ServingMessage {}
+    record BatchReply(long number, BatchOutcome outcome) implements ServingMessage {}
 
     /**
      * Cancels an order of items.
      *
      * @param number the number of the order
      */
-    record PiecesWithdrawn(long number) implements ServingMessage {}
+    record BatchCancellation(long number) implements ServingMessage {}
 
     /**
      * The results of requests to the upstreams of a pool with a rollout in progress.
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/Serving.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/Serving.java
@@ -212,22 +212,23 @@
             case ServingMessage.FeedAsk ask -> feeds.onAsk(sender.vm(), ask);
             case ServingMessage.FeedHelp help -> feeds.onHelp(help, now);
             case ServingMessage.FeedUpdate update -> feeds.onUpdate(sender.vm(), update, now);
-            case ServingMessage.PiecesWanted wanted -> onPiecesWanted(sender, wanted, now);
-            case ServingMessage.PiecesAnswered answered -> orders.onAnswered(sender, answered, now);
-            case ServingMessage.PiecesWithdrawn withdrawn -> orders.onWithdrawn(sender, withdrawn.number(), now);
+            case ServingMessage.BatchRequest request -> onBatchRequest(sender, request, now);
+            case ServingMessage.BatchReply reply -> orders.onBatchReply(sender, reply, now);
+            case ServingMessage.BatchCancellation cancellation ->
+                orders.onBatchCancellation(sender, cancellation.number(), now);
             case ServingMessage.RolloutReport report -> rollouts.onReport(report, now);
             case ServingMessage.ResultsReleased released -> orders.scheduler().onReleased(released.results());
         }
     }
 
-    private void onPiecesWanted(NodeId sender, ServingMessage.PiecesWanted wanted, Instant now) {
+    private void onBatchRequest(NodeId sender, ServingMessage.BatchRequest request, Instant now) {
         Optional<BatchContract> contract =
-                configuration.flatMap(latest -> latest.pool(wanted.pool())).flatMap(PoolProfile::items);
+                configuration.flatMap(latest -> latest.pool(request.pool())).flatMap(PoolProfile::items);
         if (contract.isEmpty()) {
             // This node does not know the pool yet; the sender repeats the order.
             return;
         }
-        orders.onWanted(sender, wanted, contract.get(), now);
+        orders.onBatchRequest(sender, request, contract.get(), now);
     }
 
     private boolean onFeedRecord(FeedName name, FeedRecord record, boolean storeUnstable, Instant now) {
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/StepOrders.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/StepOrders.java
@@ -147,7 +147,7 @@
         BatchOrder order = entry.order;
         effects.accept(new ServingEffect.SendToPeer(
                 entry.scheduler,
-                new ServingMessage.PiecesWanted(
+                new ServingMessage.BatchRequest(
                         order.id().number(),
                         order.request(),
                         order.step(),
@@ -178,7 +178,7 @@
             return;
         }
         long number = entry.order.id().number();
-        effects.accept(new ServingEffect.SendToPeer(entry.scheduler, new ServingMessage.PiecesWithdrawn(number)));
+        effects.accept(new ServingEffect.SendToPeer(entry.scheduler, new ServingMessage.BatchCancellation(number)));
     }
 
     /** Releases results at the node that schedules their pool, which tracks the room at stage servers. */
@@ -194,31 +194,31 @@
     }
 
     /** Accepts an order of another node. */
-    void onWanted(NodeId sender, ServingMessage.PiecesWanted wanted, BatchContract contract, Instant now) {
+    void onBatchRequest(NodeId sender, ServingMessage.BatchRequest request, BatchContract contract, Instant now) {
         BatchOrder.Urgency urgency =
-                new BatchOrder.Urgency(wanted.rank(), now.plus(wanted.aimLeft()), now.plus(wanted.deadlineLeft()));
+                new BatchOrder.Urgency(request.rank(), now.plus(request.aimLeft()), now.plus(request.deadlineLeft()));
         BatchOrder order = new BatchOrder(
-                new OrderId(sender, wanted.number()),
-                wanted.request(),
-                wanted.step(),
-                wanted.pool(),
-                wanted.items(),
-                wanted.key(),
-                wanted.inputs(),
-                wanted.resultBytes(),
-                wanted.near(),
+                new OrderId(sender, request.number()),
+                request.request(),
+                request.step(),
+                request.pool(),
+                request.items(),
+                request.key(),
+                request.inputs(),
+                request.resultBytes(),
+                request.near(),
                 urgency);
         scheduler.onOrder(order, contract, now);
     }
 
     /** Withdraws an order of another node. */
-    void onWithdrawn(NodeId sender, long number, Instant now) {
+    void onBatchCancellation(NodeId sender, long number, Instant now) {
         scheduler.onWithdrawn(new OrderId(sender, number), now);
     }
 
     /** Processes the answer of the scheduling node to an order. */
-    void onAnswered(NodeId sender, ServingMessage.PiecesAnswered answered, Instant now) {
-        answer(answered.number(), answered.outcome(), sender.vm(), now);
+    void onBatchReply(NodeId sender, ServingMessage.BatchReply reply, Instant now) {
+        answer(reply.number(), reply.outcome(), sender.vm(), now);
     }
 
     private void answer(long number, BatchOutcome outcome, VmId schedulerNode, Instant now) {
@@ -314,7 +314,7 @@
                 return;
             }
             effects.accept(new ServingEffect.SendToPeer(
-                    origin.vm(), new ServingMessage.PiecesAnswered(order.id().number(), outcome)));
+                    origin.vm(), new ServingMessage.BatchReply(order.id().number(), outcome)));
         }
 
         @Override
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingWorld.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingWorld.java
@@ -331,7 +331,7 @@
     }
 
     private Duration delay(ServingEffect.SendToPeer send) {
-        boolean answer = send.message() instanceof ServingMessage.PiecesAnswered;
+        boolean answer = send.message() instanceof ServingMessage.BatchReply;
         return answer ? answerDelay.minus(MESSAGE_DELAY) : Duration.ZERO;
     }
 
--- a/wagtaillug-link/src/main/java/org/wagtaillug/link/ServingCodec.java
+++ b/wagtaillug-link/src/main/java/org/wagtaillug/link/ServingCodec.java
@@ -47,9 +47,9 @@
                         FeedAskMessage.newBuilder().setFeed(encode(ask.feed())).setFrom(ask.from()));
             case ServingMessage.FeedHelp help -> envelope.setFeedHelp(encode(help));
             case ServingMessage.FeedUpdate update -> envelope.setFeedUpdate(encode(update));
-            case ServingMessage.PiecesWanted wanted -> envelope.setPiecesWanted(encode(wanted));
-            case ServingMessage.PiecesAnswered answered -> envelope.setPiecesAnswered(encode(answered));
-            case ServingMessage.PiecesWithdrawn withdrawn ->
+            case ServingMessage.BatchRequest wanted -> envelope.setPiecesWanted(encode(wanted));
+            case ServingMessage.BatchReply answered -> envelope.setPiecesAnswered(encode(answered));
+            case ServingMessage.BatchCancellation withdrawn ->
                 envelope.setPiecesWithdrawn(PiecesWithdrawnMessage.newBuilder().setNumber(withdrawn.number()));
             case ServingMessage.RolloutReport report -> envelope.setRolloutReport(encode(report));
             case ServingMessage.ResultsReleased released ->
@@ -75,7 +75,8 @@
             case PIECES_WANTED -> decode(envelope.getPiecesWanted());
             case PIECES_ANSWERED -> decode(envelope.getPiecesAnswered());
             case PIECES_WITHDRAWN ->
-                new ServingMessage.PiecesWithdrawn(envelope.getPiecesWithdrawn().getNumber());
+                new ServingMessage.BatchCancellation(
+                        envelope.getPiecesWithdrawn().getNumber());
             case RESULTS_RELEASED ->
                 new ServingMessage.ResultsReleased(
                         decode(envelope.getResultsReleased().getResultsList()));
@@ -219,7 +220,7 @@
         return records;
     }
 
-    private static PiecesWantedMessage encode(ServingMessage.PiecesWanted wanted) {
+    private static PiecesWantedMessage encode(ServingMessage.BatchRequest wanted) {
         PiecesWantedMessage.Builder message = PiecesWantedMessage.newBuilder()
                 .setNumber(wanted.number())
                 .setRequest(wanted.request().value())
@@ -236,8 +237,8 @@
         return message.build();
     }
 
-    private static ServingMessage.PiecesWanted decode(PiecesWantedMessage message) {
-        return new ServingMessage.PiecesWanted(
+    private static ServingMessage.BatchRequest decode(PiecesWantedMessage message) {
+        return new ServingMessage.BatchRequest(
                 message.getNumber(),
                 new RequestId(message.getRequest()),
                 message.getStep(),
@@ -252,7 +253,7 @@
                 Duration.ofMillis(message.getDeadlineLeft()));
     }
 
-    private static PiecesAnsweredMessage encode(ServingMessage.PiecesAnswered answered) {
+    private static PiecesAnsweredMessage encode(ServingMessage.BatchReply answered) {
         PiecesAnsweredMessage.Builder message =
                 PiecesAnsweredMessage.newBuilder().setNumber(answered.number());
         switch (answered.outcome()) {
@@ -264,11 +265,11 @@
         return message.build();
     }
 
-    private static ServingMessage.PiecesAnswered decode(PiecesAnsweredMessage message) {
+    private static ServingMessage.BatchReply decode(PiecesAnsweredMessage message) {
         BatchOutcome outcome = message.getNotMade() == NotMadeReasonMessage.NOT_MADE_UNSPECIFIED
                 ? new BatchOutcome.Made(decode(message.getResultsList()))
                 : new BatchOutcome.NotMade(decode(message.getNotMade()), Duration.ofMillis(message.getRetryAfter()));
-        return new ServingMessage.PiecesAnswered(message.getNumber(), outcome);
+        return new ServingMessage.BatchReply(message.getNumber(), outcome);
     }
 
     private static NotMadeReasonMessage encode(BatchOutcome.Reason reason) {
--- a/wagtaillug-link/src/test/java/org/wagtaillug/link/ServingCodecTest.java
+++ b/wagtaillug-link/src/test/java/org/wagtaillug/link/ServingCodecTest.java
@@ -50,7 +50,7 @@
                 new ServingMessage.FeedHelp(
                         FeedName.CONFIGURATION,
                         new FeedBatch(9, true, List.of(new FeedRecord("gone", 8, Optional.empty())))),
-                new ServingMessage.PiecesWanted(
+                new ServingMessage.BatchRequest(
                         4,
                         new RequestId("r"),
                         2,
@@ -63,10 +63,10 @@
                         3,
                         Duration.ofMillis(-20),
                         Duration.ofMillis(900)),
-                new ServingMessage.PiecesAnswered(4, new BatchOutcome.Made(List.of(RESULT))),
-                new ServingMessage.PiecesAnswered(
+                new ServingMessage.BatchReply(4, new BatchOutcome.Made(List.of(RESULT))),
+                new ServingMessage.BatchReply(
                         4, new BatchOutcome.NotMade(BatchOutcome.Reason.OVERLOADED, Duration.ofMillis(300))),
-                new ServingMessage.PiecesWithdrawn(4),
+                new ServingMessage.BatchCancellation(4),
                 new ServingMessage.ResultsReleased(List.of(RESULT)));
     }
 
