--- a/wagtaillug-core/src/main/java/org/wagtaillug/message/ServingMessage.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/message/ServingMessage.java
@@ -56,7 +56,7 @@
      * @param feed which feed
      * @param from the sender's position; 0 if it has read nothing
      */
-    record FeedAsk(FeedName feed, long from) implements ServingMessage {}
+    record FeedRequest(FeedName feed, long from) implements ServingMessage {}
 
     /**
      * The latest records from a position.
@@ -64,7 +64,7 @@
      * @param feed which feed
      * @param batch the records
      */
-    record FeedHelp(FeedName feed, FeedBatch batch) implements ServingMessage {}
+    record FeedCatchUp(FeedName feed, FeedBatch batch) implements ServingMessage {}
 
     /**
      * Orders all items of a step from the node that schedules the pool's calls; resent until it is answered. Times are
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/FeedExchange.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/FeedExchange.java
@@ -190,7 +190,7 @@
         }
         if (update.from() > feed.next()) {
             effects.accept(
-                    new ServingEffect.SendToPeer(sender, new ServingMessage.FeedAsk(update.feed(), feed.next())));
+                    new ServingEffect.SendToPeer(sender, new ServingMessage.FeedRequest(update.feed(), feed.next())));
             return;
         }
         readers.get(update.feed()).onRelayed(now);
@@ -198,15 +198,19 @@
         apply(update.feed(), feed.apply(update.batch()), recentlyFailing, now);
     }
 
-    void onHelp(ServingMessage.FeedHelp help, Instant now) {
-        apply(help.feed(), feeds.get(help.feed()).apply(help.batch()), recentlyFailing(help.feed(), now), now);
+    void onFeedCatchUp(ServingMessage.FeedCatchUp catchUp, Instant now) {
+        apply(
+                catchUp.feed(),
+                feeds.get(catchUp.feed()).apply(catchUp.batch()),
+                recentlyFailing(catchUp.feed(), now),
+                now);
     }
 
-    void onAsk(VmId sender, ServingMessage.FeedAsk ask) {
-        Feed feed = feeds.get(ask.feed());
-        if (feed.complete() && feed.next() > ask.from()) {
+    void onFeedRequest(VmId sender, ServingMessage.FeedRequest request) {
+        Feed feed = feeds.get(request.feed());
+        if (feed.complete() && feed.next() > request.from()) {
             effects.accept(new ServingEffect.SendToPeer(
-                    sender, new ServingMessage.FeedHelp(ask.feed(), feed.after(ask.from()))));
+                    sender, new ServingMessage.FeedCatchUp(request.feed(), feed.after(request.from()))));
         }
     }
 
@@ -235,7 +239,8 @@
             Optional<VmId> peer = peers.ahead(name, position, now);
             if (peer.isPresent()) {
                 catchUpDue.put(name, now.plus(CATCH_UP_INTERVAL));
-                effects.accept(new ServingEffect.SendToPeer(peer.get(), new ServingMessage.FeedAsk(name, position)));
+                effects.accept(
+                        new ServingEffect.SendToPeer(peer.get(), new ServingMessage.FeedRequest(name, position)));
             }
         }
     }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/Serving.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/Serving.java
@@ -209,8 +209,8 @@
                     orders.onPeerRestarted(sender.vm(), now);
                 }
             }
-            case ServingMessage.FeedAsk ask -> feeds.onAsk(sender.vm(), ask);
-            case ServingMessage.FeedHelp help -> feeds.onHelp(help, now);
+            case ServingMessage.FeedRequest request -> feeds.onFeedRequest(sender.vm(), request);
+            case ServingMessage.FeedCatchUp catchUp -> feeds.onFeedCatchUp(catchUp, now);
             case ServingMessage.FeedUpdate update -> feeds.onUpdate(sender.vm(), update, now);
             case ServingMessage.BatchRequest request -> onBatchRequest(sender, request, now);
             case ServingMessage.BatchReply reply -> orders.onBatchReply(sender, reply, now);
--- a/wagtaillug-link/src/main/java/org/wagtaillug/link/ServingCodec.java
+++ b/wagtaillug-link/src/main/java/org/wagtaillug/link/ServingCodec.java
@@ -42,10 +42,10 @@
     static void encode(ServingMessage message, EnvelopeMessage.Builder envelope) {
         switch (message) {
             case ServingMessage.Heartbeat heartbeat -> envelope.setHeartbeat(encode(heartbeat));
-            case ServingMessage.FeedAsk ask ->
+            case ServingMessage.FeedRequest ask ->
                 envelope.setFeedAsk(
                         FeedAskMessage.newBuilder().setFeed(encode(ask.feed())).setFrom(ask.from()));
-            case ServingMessage.FeedHelp help -> envelope.setFeedHelp(encode(help));
+            case ServingMessage.FeedCatchUp help -> envelope.setFeedHelp(encode(help));
             case ServingMessage.FeedUpdate update -> envelope.setFeedUpdate(encode(update));
             case ServingMessage.BatchRequest wanted -> envelope.setPiecesWanted(encode(wanted));
             case ServingMessage.BatchReply answered -> envelope.setPiecesAnswered(encode(answered));
@@ -67,7 +67,7 @@
         return switch (envelope.getKindCase()) {
             case HEARTBEAT -> decode(envelope.getHeartbeat());
             case FEED_ASK ->
-                new ServingMessage.FeedAsk(
+                new ServingMessage.FeedRequest(
                         decode(envelope.getFeedAsk().getFeed()),
                         envelope.getFeedAsk().getFrom());
             case FEED_HELP -> decode(envelope.getFeedHelp());
@@ -169,7 +169,7 @@
         };
     }
 
-    private static FeedHelpMessage encode(ServingMessage.FeedHelp help) {
+    private static FeedHelpMessage encode(ServingMessage.FeedCatchUp help) {
         return FeedHelpMessage.newBuilder()
                 .setFeed(encode(help.feed()))
                 .setNext(help.batch().next())
@@ -178,9 +178,9 @@
                 .build();
     }
 
-    private static ServingMessage.FeedHelp decode(FeedHelpMessage message) {
+    private static ServingMessage.FeedCatchUp decode(FeedHelpMessage message) {
         FeedBatch batch = new FeedBatch(message.getNext(), message.getWhole(), decodeRecords(message.getRecordsList()));
-        return new ServingMessage.FeedHelp(decode(message.getFeed()), batch);
+        return new ServingMessage.FeedCatchUp(decode(message.getFeed()), batch);
     }
 
     private static FeedUpdateMessage encode(ServingMessage.FeedUpdate update) {
--- a/wagtaillug-link/src/test/java/org/wagtaillug/link/ServingCodecTest.java
+++ b/wagtaillug-link/src/test/java/org/wagtaillug/link/ServingCodecTest.java
@@ -46,8 +46,8 @@
                         4,
                         new FeedBatch(9, false, List.of(new FeedRecord("a", 8, Optional.empty()))),
                         true),
-                new ServingMessage.FeedAsk(FeedName.DIRECTORY, 12),
-                new ServingMessage.FeedHelp(
+                new ServingMessage.FeedRequest(FeedName.DIRECTORY, 12),
+                new ServingMessage.FeedCatchUp(
                         FeedName.CONFIGURATION,
                         new FeedBatch(9, true, List.of(new FeedRecord("gone", 8, Optional.empty())))),
                 new ServingMessage.BatchRequest(
