--- a/wagtaillug-benchmarks/src/main/java/org/wagtaillug/benchmarks/NodeAtSize.java
+++ b/wagtaillug-benchmarks/src/main/java/org/wagtaillug/benchmarks/NodeAtSize.java
@@ -286,7 +286,7 @@
         }
         for (Map.Entry<NodeId, List<PeerMessage.GrantDemand>> each : demands.entrySet()) {
             long sequence = asks.merge(each.getKey(), 1L, Long::sum);
-            receive(each.getKey(), new PeerMessage.GrantAsk(sequence, sequence - 1, each.getValue()));
+            receive(each.getKey(), new PeerMessage.GrantRequest(sequence, sequence - 1, each.getValue()));
         }
         for (NodeId prober : probers()) {
             receive(prober, new PeerMessage.Probe(asks.getOrDefault(prober, 0L), position()));
@@ -356,16 +356,16 @@
                         peer,
                         new PeerMessage.ProbeReply(
                                 probe.sequence(), position(), Optional.of(Duration.ofMillis(200)), true, true));
-            case PeerMessage.GrantAsk ask -> receive(peer, reply(ask));
+            case PeerMessage.GrantRequest request -> receive(peer, reply(request));
             default -> {
                 // Answers to simulated messages.
             }
         }
     }
 
-    private PeerMessage.GrantReply reply(PeerMessage.GrantAsk ask) {
+    private PeerMessage.GrantReply reply(PeerMessage.GrantRequest request) {
         List<PeerMessage.GrantOffer> offers = new ArrayList<>();
-        for (PeerMessage.GrantDemand demand : ask.demands()) {
+        for (PeerMessage.GrantDemand demand : request.demands()) {
             offers.add(new PeerMessage.GrantOffer(
                     demand.upstream(),
                     Math.min(MAX_ALLOWANCE, demand.wanted()),
@@ -373,6 +373,6 @@
                     false,
                     Optional.of(report())));
         }
-        return new PeerMessage.GrantReply(ask.sequence(), offers);
+        return new PeerMessage.GrantReply(request.sequence(), offers);
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/configuration/ControlLog.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/configuration/ControlLog.java
@@ -333,12 +333,12 @@
     }
 
     /** Answers a peer's request for the state; sends nothing while there is none. */
-    public void onStateAsk(VmId asker, Effects effects) {
+    public void onStateRequest(VmId requester, Effects effects) {
         if (state.through() == 0) {
             return;
         }
         effects.add(new Effect.SendToPeer(
-                asker, new PeerMessage.StateReply(state.through(), state.entries(), state.members())));
+                requester, new PeerMessage.StateReply(state.through(), state.entries(), state.members())));
     }
 
     /**
--- a/wagtaillug-core/src/main/java/org/wagtaillug/grant/GrantHolder.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/grant/GrantHolder.java
@@ -19,10 +19,10 @@
 import org.wagtaillug.membership.Ownership;
 import org.wagtaillug.membership.Rendezvous;
 import org.wagtaillug.membership.Vm;
-import org.wagtaillug.message.PeerMessage.GrantAsk;
 import org.wagtaillug.message.PeerMessage.GrantDemand;
 import org.wagtaillug.message.PeerMessage.GrantOffer;
 import org.wagtaillug.message.PeerMessage.GrantReply;
+import org.wagtaillug.message.PeerMessage.GrantRequest;
 import org.wagtaillug.node.Effect;
 import org.wagtaillug.node.Effects;
 
@@ -52,9 +52,9 @@
     /** How long an owner may leave grant requests unanswered before a warm upstream is used on a fixed share. */
     public static final Duration OWNER_TIMEOUT = Duration.ofMillis(1500);
 
-    private static final Duration ASK_INTERVAL = Duration.ofMillis(500);
-    private static final Duration COLD_ASK_INTERVAL = Duration.ofMillis(100);
-    private static final Duration MIN_ASK_INTERVAL = Duration.ofMillis(50);
+    private static final Duration REQUEST_INTERVAL = Duration.ofMillis(500);
+    private static final Duration COLD_REQUEST_INTERVAL = Duration.ofMillis(100);
+    private static final Duration MIN_REQUEST_INTERVAL = Duration.ofMillis(50);
     private static final Duration FIXED_SHARE_START_WINDOW = Duration.ofMillis(500);
     /** A longer gap between two ticks means that this node was paused. */
     private static final Duration MAX_TICK_GAP = Duration.ofMillis(500);
@@ -139,8 +139,8 @@
             if (ownerDemands.isEmpty() && !link.isAcknowledgementDue()) {
                 continue;
             }
-            if (link.due(askInterval(link, waitingForCold.contains(each.getKey())), now)) {
-                sendAsk(each.getKey(), link, ownerDemands, now, effects);
+            if (link.due(requestInterval(link, waitingForCold.contains(each.getKey())), now)) {
+                sendRequest(each.getKey(), link, ownerDemands, now, effects);
             }
         }
         removeFormerOwners(now);
@@ -229,21 +229,21 @@
         return Math.max(count + headroom, upstream.inUse(now));
     }
 
-    private static Duration askInterval(OwnerLink link, boolean waitingForCold) {
+    private static Duration requestInterval(OwnerLink link, boolean waitingForCold) {
         if (link.isExpedited() || link.isAcknowledgementDue()) {
-            return MIN_ASK_INTERVAL;
+            return MIN_REQUEST_INTERVAL;
         }
-        return waitingForCold ? COLD_ASK_INTERVAL : ASK_INTERVAL;
+        return waitingForCold ? COLD_REQUEST_INTERVAL : REQUEST_INTERVAL;
     }
 
-    private void sendAsk(NodeId owner, OwnerLink link, List<GrantDemand> demands, Instant now, Effects effects) {
+    private void sendRequest(NodeId owner, OwnerLink link, List<GrantDemand> demands, Instant now, Effects effects) {
         long applied = link.applied();
-        GrantAsk ask = new GrantAsk(link.onAsk(now), applied, demands);
+        GrantRequest request = new GrantRequest(link.onRequestSent(now), applied, demands);
         if (!owner.equals(ownership.self())) {
-            effects.add(new Effect.SendToPeer(owner.vm(), ask));
+            effects.add(new Effect.SendToPeer(owner.vm(), request));
             return;
         }
-        Optional<GrantReply> reply = localOwner.answer(owner, ask, now, effects);
+        Optional<GrantReply> reply = localOwner.answer(owner, request, now, effects);
         applyLocalWithdrawals();
         if (reply.isPresent()) {
             onReply(owner, reply.get(), now, effects);
--- a/wagtaillug-core/src/main/java/org/wagtaillug/grant/GrantOwner.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/grant/GrantOwner.java
@@ -19,10 +19,10 @@
 import org.wagtaillug.membership.Ownership;
 import org.wagtaillug.membership.Timing;
 import org.wagtaillug.membership.Vm;
-import org.wagtaillug.message.PeerMessage.GrantAsk;
 import org.wagtaillug.message.PeerMessage.GrantDemand;
 import org.wagtaillug.message.PeerMessage.GrantOffer;
 import org.wagtaillug.message.PeerMessage.GrantReply;
+import org.wagtaillug.message.PeerMessage.GrantRequest;
 import org.wagtaillug.node.Decision;
 import org.wagtaillug.node.Effect;
 import org.wagtaillug.node.Effects;
@@ -34,7 +34,7 @@
  * GrantOwner owner = new GrantOwner(ownership, configuration);
  * owner.onVmList(vms, now);
  * owner.onTick(now, effects); // requests load reports
- * owner.onAsk(holder, ask, now, effects); // sends a reply
+ * owner.onGrantRequest(holder, request, now, effects); // sends a reply
  * }</pre>
  *
  * <p>Guards against overloading an upstream that has just started: nodes that do not know of one another each send it a
@@ -58,16 +58,16 @@
     /** How often the load of an owned upstream is requested. */
     static final Duration LOAD_INTERVAL = Duration.ofMillis(250);
 
-    private static final Duration ASK_RETENTION = Duration.ofMinutes(1);
+    private static final Duration REQUEST_RETENTION = Duration.ofMinutes(1);
 
     private final Ownership ownership;
     private final Configuration configuration;
     private final Map<VmId, Vm> listed = new TreeMap<>();
     private final Map<VmId, UpstreamAccount> accounts = new TreeMap<>();
-    private final Map<NodeId, LastAsk> lastAsks = new HashMap<>();
+    private final Map<NodeId, LastRequest> lastRequests = new HashMap<>();
     private final List<GrantReply> localWithdrawals = new ArrayList<>();
 
-    private record LastAsk(long sequence, Instant at) {}
+    private record LastRequest(long sequence, Instant at) {}
 
     /** Creates an owner that knows no upstreams yet. */
     public GrantOwner(Ownership ownership, Configuration configuration) {
@@ -109,9 +109,10 @@
             }
         }
         removeUnlisted(now, effects);
-        lastAsks.entrySet()
+        lastRequests
+                .entrySet()
                 .removeIf(each -> !members.contains(each.getKey())
-                        && now.isAfter(each.getValue().at().plus(ASK_RETENTION)));
+                        && now.isAfter(each.getValue().at().plus(REQUEST_RETENTION)));
     }
 
     private void removeUnlisted(Instant now, Effects effects) {
@@ -148,8 +149,8 @@
     }
 
     /** Answers the grant request of another node. Late and duplicate requests are not answered. */
-    public void onAsk(NodeId holder, GrantAsk ask, Instant now, Effects effects) {
-        Optional<GrantReply> reply = answer(holder, ask, now, effects);
+    public void onGrantRequest(NodeId holder, GrantRequest request, Instant now, Effects effects) {
+        Optional<GrantReply> reply = answer(holder, request, now, effects);
         if (reply.isPresent()) {
             effects.add(new Effect.SendToPeer(holder.vm(), reply.get()));
         }
@@ -158,32 +159,32 @@
     /**
      * Answers a grant request, also of the local holder; empty if a later request of the holder was answered before.
      */
-    Optional<GrantReply> answer(NodeId holder, GrantAsk ask, Instant now, Effects effects) {
-        LastAsk last = lastAsks.get(holder);
-        if (last != null && ask.sequence() <= last.sequence()) {
+    Optional<GrantReply> answer(NodeId holder, GrantRequest request, Instant now, Effects effects) {
+        LastRequest last = lastRequests.get(holder);
+        if (last != null && request.sequence() <= last.sequence()) {
             return Optional.empty();
         }
-        lastAsks.put(holder, new LastAsk(ask.sequence(), now));
-        applyAsk(holder, ask, now, effects);
+        lastRequests.put(holder, new LastRequest(request.sequence(), now));
+        applyRequest(holder, request, now, effects);
         List<GrantOffer> offers = new ArrayList<>();
         boolean member = ownership.members().contains(holder);
-        for (GrantDemand demand : ask.demands()) {
+        for (GrantDemand demand : request.demands()) {
             Vm vm = listed.get(demand.upstream());
             if (vm == null || !owns(vm)) {
                 continue;
             }
-            offers.add(offer(vm, demand, holder, member, ask.sequence(), now));
+            offers.add(offer(vm, demand, holder, member, request.sequence(), now));
         }
-        return Optional.of(new GrantReply(ask.sequence(), offers));
+        return Optional.of(new GrantReply(request.sequence(), offers));
     }
 
     /**
      * Passes a grant request to every account: a request that does not name an upstream acknowledges that the holder
      * holds nothing there.
      */
-    private void applyAsk(NodeId holder, GrantAsk ask, Instant now, Effects effects) {
+    private void applyRequest(NodeId holder, GrantRequest request, Instant now, Effects effects) {
         Map<VmId, GrantDemand> demands = new HashMap<>();
-        for (GrantDemand demand : ask.demands()) {
+        for (GrantDemand demand : request.demands()) {
             demands.put(demand.upstream(), demand);
             Vm vm = listed.get(demand.upstream());
             if (vm != null && owns(vm)) {
@@ -195,7 +196,7 @@
             VmId upstream = each.getKey();
             UpstreamAccount account = each.getValue();
             Optional<GrantDemand> demand = Optional.ofNullable(demands.get(upstream));
-            if (account.onAsk(holder, ask.applied(), demand, contract(account), now)) {
+            if (account.onGrantRequest(holder, request.applied(), demand, contract(account), now)) {
                 withdraw(upstream, account, "attempt failed at " + holder, now, effects);
             }
         }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/grant/HolderAccount.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/grant/HolderAccount.java
@@ -22,7 +22,7 @@
     private int inUse;
     private Instant inUseUntil = Instant.MIN;
     private int wanted;
-    private Instant lastAsk = Instant.MIN;
+    private Instant lastRequest = Instant.MIN;
     private long lastSucceeded;
     private Optional<Instant> countedStart = Optional.empty();
     private boolean discountNext;
@@ -45,12 +45,12 @@
     }
 
     /** Applies a grant request: drops the allowances that it acknowledges as replaced, and records what it reports. */
-    void onAsk(long applied, Optional<GrantDemand> demand, Instant now) {
+    void onGrantRequest(long applied, Optional<GrantDemand> demand, Instant now) {
         issued.removeIf(each -> each.sequence() < applied);
         inUse = Math.max(0, demand.map(GrantDemand::inUse).orElse(0));
         inUseUntil = now.plus(GrantOwner.MAX_ATTEMPT_DURATION);
         wanted = Math.max(0, demand.map(GrantDemand::wanted).orElse(0));
-        lastAsk = now;
+        lastRequest = now;
         if (wanted == 0) {
             waitingSince = Instant.MAX;
         } else if (waitingSince.equals(Instant.MAX)) {
@@ -134,7 +134,7 @@
 
     /** Whether the holder has demand and has been heard from recently. */
     boolean active(Instant now) {
-        return wanted > 0 && now.isBefore(lastAsk.plus(GrantOwner.DEMAND_LIFETIME));
+        return wanted > 0 && now.isBefore(lastRequest.plus(GrantOwner.DEMAND_LIFETIME));
     }
 
     int wanted() {
--- a/wagtaillug-core/src/main/java/org/wagtaillug/grant/OwnerLink.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/grant/OwnerLink.java
@@ -12,20 +12,20 @@
     private final TreeMap<Long, Instant> unanswered = new TreeMap<>();
     private long lastSequence;
     private long applied;
-    private Instant lastAsk = Instant.MIN;
+    private Instant lastRequest = Instant.MIN;
     private Optional<Instant> unansweredSince = Optional.empty();
     private boolean acknowledgementDue;
     private boolean expedited;
 
     /** Records a grant request that is being sent and returns its sequence number. */
-    long onAsk(Instant now) {
+    long onRequestSent(Instant now) {
         lastSequence++;
         unanswered.put(lastSequence, now);
         if (unanswered.size() > MAX_UNANSWERED) {
             unanswered.pollFirstEntry();
         }
         boolean resumed = due(GrantHolder.OWNER_TIMEOUT, now);
-        lastAsk = now;
+        lastRequest = now;
         if (unansweredSince.isEmpty() || resumed) {
             unansweredSince = Optional.of(now);
         }
@@ -87,7 +87,7 @@
 
     /** Whether at least this long has passed since the last grant request. */
     boolean due(Duration period, Instant now) {
-        return lastAsk.equals(Instant.MIN) || !now.isBefore(lastAsk.plus(period));
+        return lastRequest.equals(Instant.MIN) || !now.isBefore(lastRequest.plus(period));
     }
 
     long applied() {
--- a/wagtaillug-core/src/main/java/org/wagtaillug/grant/UpstreamAccount.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/grant/UpstreamAccount.java
@@ -147,12 +147,13 @@
      * @param demand what the request says of this upstream; empty if it does not name the upstream
      * @return whether allowances have to be withdrawn because an attempt at the upstream failed
      */
-    boolean onAsk(NodeId holder, long applied, Optional<GrantDemand> demand, PoolContract contract, Instant now) {
+    boolean onGrantRequest(
+            NodeId holder, long applied, Optional<GrantDemand> demand, PoolContract contract, Instant now) {
         if (demand.isEmpty() && !holders.containsKey(holder)) {
             return false;
         }
         HolderAccount account = holders.computeIfAbsent(holder, id -> new HolderAccount());
-        account.onAsk(applied, demand, now);
+        account.onGrantRequest(applied, demand, now);
         if (demand.isEmpty()) {
             return false;
         }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/membership/Members.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/membership/Members.java
@@ -261,9 +261,9 @@
         switch (message) {
             case Probe probe -> onProbe(sender, probe, now, effects);
             case ProbeReply reply -> onProbeReply(sender, reply, now);
-            case PeerMessage.StateAsk ignored -> log.onStateAsk(sender.vm(), effects);
+            case PeerMessage.StateRequest ignored -> log.onStateRequest(sender.vm(), effects);
             case PeerMessage.StateReply reply -> repair.onStateReply(sender.vm(), reply, now, effects);
-            case PeerMessage.GrantAsk ignored -> {
+            case PeerMessage.GrantRequest ignored -> {
                 return false;
             }
             case PeerMessage.GrantReply ignored -> {
--- a/wagtaillug-core/src/main/java/org/wagtaillug/membership/StateRepair.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/membership/StateRepair.java
@@ -26,19 +26,19 @@
  */
 final class StateRepair {
     private static final Duration LOG_TIMEOUT = Duration.ofSeconds(1);
-    private static final Duration ASK_RETRY_INTERVAL = Duration.ofMillis(500);
+    private static final Duration REQUEST_RETRY_INTERVAL = Duration.ofMillis(500);
     private static final Duration DIFFERENCE_LOG_INTERVAL = Duration.ofSeconds(10);
     private static final Duration REPAIR_RETRY_INTERVAL = Duration.ofMinutes(1);
     private static final int MIN_AGREEING_PEERS = 2;
 
     private final ControlLog log;
-    private final Set<VmId> asked = new HashSet<>();
+    private final Set<VmId> requestedFrom = new HashSet<>();
     private Optional<PeerAhead> ahead = Optional.empty();
     private Optional<Instant> behindSince = Optional.empty();
     private long highestOffset;
-    private Optional<Instant> askedAt = Optional.empty();
+    private Optional<Instant> requestedAt = Optional.empty();
     private Optional<Instant> differenceLoggedAt = Optional.empty();
-    private Optional<Instant> repairAskedAt = Optional.empty();
+    private Optional<Instant> repairRequestedAt = Optional.empty();
     private Optional<Long> expectedDigest = Optional.empty();
 
     /**
@@ -79,23 +79,23 @@
         }
         boolean waitForLog =
                 log.logReachable(now) && now.isBefore(behindSince.get().plus(LOG_TIMEOUT));
-        if (waitForLog || askedWithin(askedAt, ASK_RETRY_INTERVAL, now)) {
+        if (waitForLog || within(requestedAt, REQUEST_RETRY_INTERVAL, now)) {
             return;
         }
-        askedAt = Optional.of(now);
-        ask(ahead.get().peer(), effects);
+        requestedAt = Optional.of(now);
+        sendRequest(ahead.get().peer(), effects);
         // If this peer does not answer, the next peer that is found to be ahead is asked.
         ahead = Optional.empty();
     }
 
-    private void ask(VmId peer, Effects effects) {
-        asked.add(peer);
-        effects.add(new Effect.SendToPeer(peer, new PeerMessage.StateAsk()));
+    private void sendRequest(VmId peer, Effects effects) {
+        requestedFrom.add(peer);
+        effects.add(new Effect.SendToPeer(peer, new PeerMessage.StateRequest()));
     }
 
     /** Applies a state that was requested from a peer. An unexpected or duplicate reply is ignored. */
     void onStateReply(VmId sender, PeerMessage.StateReply reply, Instant now, Effects effects) {
-        if (!asked.remove(sender)) {
+        if (!requestedFrom.remove(sender)) {
             return;
         }
         if (expectedDigest.isPresent() && log.onRepair(expectedDigest.get(), reply, now, effects)) {
@@ -133,7 +133,7 @@
 
     private void onDifferentDigest(long digest, VmId peer, int against, int agreeing, Instant now, Effects effects) {
         boolean outvoted = against >= MIN_AGREEING_PEERS && against > agreeing;
-        if (!askedWithin(differenceLoggedAt, DIFFERENCE_LOG_INTERVAL, now)) {
+        if (!within(differenceLoggedAt, DIFFERENCE_LOG_INTERVAL, now)) {
             differenceLoggedAt = Optional.of(now);
             effects.add(new Effect.LogDecision(Decision.builder("control-digest-differs")
                     .field("through", log.state().through())
@@ -143,15 +143,15 @@
                     .field("corrupt", outvoted ? "self" : "not known")
                     .build()));
         }
-        if (!outvoted || askedWithin(repairAskedAt, REPAIR_RETRY_INTERVAL, now)) {
+        if (!outvoted || within(repairRequestedAt, REPAIR_RETRY_INTERVAL, now)) {
             return;
         }
-        repairAskedAt = Optional.of(now);
+        repairRequestedAt = Optional.of(now);
         expectedDigest = Optional.of(digest);
-        ask(peer, effects);
+        sendRequest(peer, effects);
     }
 
-    private static boolean askedWithin(Optional<Instant> at, Duration length, Instant now) {
+    private static boolean within(Optional<Instant> at, Duration length, Instant now) {
         return at.isPresent() && now.isBefore(at.get().plus(length));
     }
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/message/PeerMessage.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/message/PeerMessage.java
@@ -12,9 +12,9 @@
 public sealed interface PeerMessage
         permits PeerMessage.Probe,
                 PeerMessage.ProbeReply,
-                PeerMessage.StateAsk,
+                PeerMessage.StateRequest,
                 PeerMessage.StateReply,
-                PeerMessage.GrantAsk,
+                PeerMessage.GrantRequest,
                 PeerMessage.GrantReply,
                 ServingMessage {
     /**
@@ -49,7 +49,7 @@
             implements PeerMessage {}
 
     /** Requests the complete control state. */
-    record StateAsk() implements PeerMessage {}
+    record StateRequest() implements PeerMessage {}
 
     /**
      * The complete control state as of an offset.
@@ -68,7 +68,7 @@
      * @param applied the sequence of the latest reply that the sender has applied; 0 for none
      * @param demands one for each upstream of this owner that the sender uses or wants to use
      */
-    record GrantAsk(long sequence, long applied, List<GrantDemand> demands) implements PeerMessage {}
+    record GrantRequest(long sequence, long applied, List<GrantDemand> demands) implements PeerMessage {}
 
     /**
      * The demand of one node for one upstream.
--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/Node.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/Node.java
@@ -175,14 +175,15 @@
 
     private void onPeerMessage(Event.PeerMessageReceived received, Instant now) {
         switch (received.message()) {
-            case PeerMessage.GrantAsk ask -> grantOwner.onAsk(received.sender(), ask, now, effects);
+            case PeerMessage.GrantRequest request ->
+                grantOwner.onGrantRequest(received.sender(), request, now, effects);
             case PeerMessage.GrantReply reply -> {
                 grantHolder.onReply(received.sender(), reply, now, effects);
                 dispatcher.onCapacityAvailable(now, effects);
             }
             case PeerMessage.Probe probe -> members.onPeerMessage(received.sender(), probe, now, effects);
             case PeerMessage.ProbeReply reply -> members.onPeerMessage(received.sender(), reply, now, effects);
-            case PeerMessage.StateAsk ask -> members.onPeerMessage(received.sender(), ask, now, effects);
+            case PeerMessage.StateRequest request -> members.onPeerMessage(received.sender(), request, now, effects);
             case PeerMessage.StateReply reply -> members.onPeerMessage(received.sender(), reply, now, effects);
             case ServingMessage ignored -> {
                 // Sent between nodes that route by host and path. This node does not, and owes no answer.
--- a/wagtaillug-core/src/test/java/org/wagtaillug/grant/GrantHolderTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/grant/GrantHolderTest.java
@@ -14,9 +14,9 @@
 import org.wagtaillug.id.RegionId;
 import org.wagtaillug.id.VmId;
 import org.wagtaillug.membership.Vm;
-import org.wagtaillug.message.PeerMessage.GrantAsk;
 import org.wagtaillug.message.PeerMessage.GrantOffer;
 import org.wagtaillug.message.PeerMessage.GrantReply;
+import org.wagtaillug.message.PeerMessage.GrantRequest;
 import org.wagtaillug.node.Effect;
 import org.wagtaillug.node.Effects;
 
@@ -46,19 +46,19 @@
         return new Vm(ID, Optional.of(POOL), new DomainId("a"), new RegionId("r"), "127.0.0.1", 1, leaving);
     }
 
-    private GrantAsk asked(NodeId owner, Instant now) {
+    private GrantRequest sentRequest(NodeId owner, Instant now) {
         holder.onTick(now, effects);
         for (Effect effect : effects.drain()) {
-            if (effect instanceof Effect.SendToPeer(VmId to, GrantAsk ask) && to.equals(owner.vm())) {
-                return ask;
+            if (effect instanceof Effect.SendToPeer(VmId to, GrantRequest request) && to.equals(owner.vm())) {
+                return request;
             }
         }
         throw new AssertionError("asked " + owner + " nothing at " + now);
     }
 
-    private void reply(GrantAsk ask, int allowed, Duration lifetime, Instant now) {
+    private void reply(GrantRequest request, int allowed, Duration lifetime, Instant now) {
         GrantOffer offer = new GrantOffer(ID, allowed, lifetime, true, Optional.empty());
-        holder.onReply(OWNER, new GrantReply(ask.sequence(), List.of(offer)), now, effects);
+        holder.onReply(OWNER, new GrantReply(request.sequence(), List.of(offer)), now, effects);
     }
 
     /**
@@ -67,12 +67,12 @@
      */
     @Test
     void ignoresRepliesThatComeLateOrTwice() {
-        GrantAsk first = asked(OWNER, START);
-        GrantAsk second = asked(OWNER, START.plusMillis(100));
+        GrantRequest first = sentRequest(OWNER, START);
+        GrantRequest second = sentRequest(OWNER, START.plusMillis(100));
         reply(second, 0, Duration.ofSeconds(2), START.plusMillis(110));
         reply(first, 1, Duration.ofSeconds(2), START.plusMillis(120));
         assertThat(holder.available(ID, START.plusMillis(120))).isZero();
-        GrantAsk third = asked(OWNER, START.plusMillis(200));
+        GrantRequest third = sentRequest(OWNER, START.plusMillis(200));
         assertThat(third.applied()).isEqualTo(second.sequence());
         reply(third, 1, Duration.ofMillis(500), START.plusMillis(210));
         GrantOffer nothing = new GrantOffer(ID, 0, Duration.ofSeconds(2), true, Optional.empty());
@@ -101,8 +101,8 @@
         GrantOffer offer = new GrantOffer(ID, 0, Duration.ZERO, cold, Optional.empty());
         Instant now = START;
         for (int round = 0; round < 4; round++) {
-            GrantAsk ask = asked(OWNER, now);
-            holder.onReply(OWNER, new GrantReply(ask.sequence(), List.of(offer)), now, effects);
+            GrantRequest request = sentRequest(OWNER, now);
+            holder.onReply(OWNER, new GrantReply(request.sequence(), List.of(offer)), now, effects);
             now = now.plusMillis(500);
         }
         return now;
@@ -113,9 +113,9 @@
      */
     @Test
     void releasesWhatAReplyLeavesOut() {
-        reply(asked(OWNER, START), 1, Duration.ofSeconds(2), START);
+        reply(sentRequest(OWNER, START), 1, Duration.ofSeconds(2), START);
         assertThat(holder.available(ID, START)).isEqualTo(1);
-        GrantAsk next = asked(OWNER, START.plusMillis(500));
+        GrantRequest next = sentRequest(OWNER, START.plusMillis(500));
         holder.onReply(OWNER, new GrantReply(next.sequence(), List.of()), START.plusMillis(510), effects);
         assertThat(holder.available(ID, START.plusMillis(510))).isZero();
     }
@@ -127,7 +127,7 @@
     @Test
     void startsNothingOnceTheGrantHasExpired() {
         Instant expires = START.plusMillis(500);
-        reply(asked(OWNER, START), 1, Duration.ofMillis(500), START.plusMillis(300));
+        reply(sentRequest(OWNER, START), 1, Duration.ofMillis(500), START.plusMillis(300));
         assertThat(holder.startBefore(ID, START.plusMillis(300))).isEqualTo(expires);
         assertThat(holder.available(ID, expires.minusMillis(1))).isEqualTo(1);
         assertThat(holder.start(ID, expires)).isFalse();
@@ -139,17 +139,17 @@
      */
     @Test
     void tellsAFormerOwnerWhatRunsUnderItsGrant() {
-        reply(asked(OWNER, START), 1, Duration.ofMillis(500), START);
+        reply(sentRequest(OWNER, START), 1, Duration.ofMillis(500), START);
         assertThat(holder.start(ID, START)).isTrue();
         ownership.owner = Optional.of(NEXT_OWNER);
-        GrantAsk ask = asked(OWNER, START.plusMillis(500));
-        assertThat(ask.demands()).singleElement().satisfies(each -> {
+        GrantRequest request = sentRequest(OWNER, START.plusMillis(500));
+        assertThat(request.demands()).singleElement().satisfies(each -> {
             assertThat(each.inUse()).isEqualTo(1);
             assertThat(each.wanted()).isZero();
         });
         holder.finished(ID, UpstreamOutcome.SUCCEEDED, START.plusMillis(600));
-        reply(ask, 0, Duration.ofSeconds(2), START.plusMillis(600));
-        assertThat(asked(OWNER, START.plusMillis(700)).demands()).isEmpty();
+        reply(request, 0, Duration.ofSeconds(2), START.plusMillis(600));
+        assertThat(sentRequest(OWNER, START.plusMillis(700)).demands()).isEmpty();
     }
 
     /**
@@ -158,21 +158,21 @@
      */
     @Test
     void keepsTheSlotOfASilentRequest() {
-        reply(asked(OWNER, START), 1, Duration.ofMillis(500), START);
+        reply(sentRequest(OWNER, START), 1, Duration.ofMillis(500), START);
         holder.start(ID, START);
         holder.finished(ID, UpstreamOutcome.FAILED, START);
-        GrantAsk ask = asked(OWNER, START.plusMillis(500));
-        assertThat(ask.demands().get(0).failed()).isTrue();
-        assertThat(ask.demands().get(0).inUse()).isEqualTo(1);
-        reply(ask, 1, Duration.ofMillis(500), START.plusMillis(500));
+        GrantRequest request = sentRequest(OWNER, START.plusMillis(500));
+        assertThat(request.demands().get(0).failed()).isTrue();
+        assertThat(request.demands().get(0).inUse()).isEqualTo(1);
+        reply(request, 1, Duration.ofMillis(500), START.plusMillis(500));
         assertThat(holder.available(ID, START.plusMillis(500))).isZero();
         Instant over = START.plus(GrantOwner.MAX_ATTEMPT_DURATION);
-        assertThat(asked(OWNER, over).demands().get(0).inUse()).isZero();
+        assertThat(sentRequest(OWNER, over).demands().get(0).inUse()).isZero();
     }
 
     @Test
     void startsNothingAtAnUpstreamThatLeavesOrIsOutOfService() {
-        reply(asked(OWNER, START), 1, Duration.ofMillis(500), START);
+        reply(sentRequest(OWNER, START), 1, Duration.ofMillis(500), START);
         configuration.outOfService.add(ID);
         assertThat(holder.available(ID, START)).isZero();
         configuration.outOfService.clear();
@@ -185,12 +185,12 @@
 
     @Test
     void releasesWhatItNoLongerWants() {
-        reply(asked(OWNER, START), 1, Duration.ofSeconds(2), START);
+        reply(sentRequest(OWNER, START), 1, Duration.ofSeconds(2), START);
         holder.want(POOL, 0);
-        GrantAsk release = asked(OWNER, START.plusMillis(500));
+        GrantRequest release = sentRequest(OWNER, START.plusMillis(500));
         assertThat(release.demands().get(0).wanted()).isZero();
         reply(release, 0, Duration.ofSeconds(2), START.plusMillis(510));
-        GrantAsk acknowledgement = asked(OWNER, START.plusMillis(560));
+        GrantRequest acknowledgement = sentRequest(OWNER, START.plusMillis(560));
         assertThat(acknowledgement.applied()).isEqualTo(release.sequence());
         assertThat(acknowledgement.demands()).isEmpty();
         reply(acknowledgement, 0, Duration.ofSeconds(2), START.plusMillis(570));
--- a/wagtaillug-core/src/test/java/org/wagtaillug/grant/GrantOwnerTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/grant/GrantOwnerTest.java
@@ -17,10 +17,10 @@
 import org.wagtaillug.id.VmId;
 import org.wagtaillug.membership.Timing;
 import org.wagtaillug.membership.Vm;
-import org.wagtaillug.message.PeerMessage.GrantAsk;
 import org.wagtaillug.message.PeerMessage.GrantDemand;
 import org.wagtaillug.message.PeerMessage.GrantOffer;
 import org.wagtaillug.message.PeerMessage.GrantReply;
+import org.wagtaillug.message.PeerMessage.GrantRequest;
 import org.wagtaillug.node.Effect;
 import org.wagtaillug.node.Effects;
 
@@ -59,12 +59,12 @@
         owner.onLoadReport(ID, report, now, effects);
     }
 
-    private GrantOffer ask(int wanted, long succeeded, boolean failed) {
+    private GrantOffer request(int wanted, long succeeded, boolean failed) {
         sequence++;
         Optional<Instant> startedAt = Optional.of(Instant.ofEpochMilli(1));
         GrantDemand demand = new GrantDemand(ID, wanted, 0, succeeded, failed, startedAt);
-        GrantAsk ask = new GrantAsk(sequence, Math.max(0, sequence - 1), List.of(demand));
-        return owner.answer(HOLDER, ask, now, effects).get().offers().get(0);
+        GrantRequest request = new GrantRequest(sequence, Math.max(0, sequence - 1), List.of(demand));
+        return owner.answer(HOLDER, request, now, effects).get().offers().get(0);
     }
 
     private List<GrantReply> withdrawals() {
@@ -79,21 +79,21 @@
 
     @Test
     void raisesTheLimitByEvidence() {
-        assertThat(ask(9, 0, false).allowed()).isEqualTo(2);
-        assertThat(ask(9, 3, false).cold()).isTrue();
-        GrantOffer warm = ask(9, 4, false);
+        assertThat(request(9, 0, false).allowed()).isEqualTo(2);
+        assertThat(request(9, 3, false).cold()).isTrue();
+        GrantOffer warm = request(9, 4, false);
         assertThat(warm.cold()).isFalse();
         assertThat(warm.allowed()).isEqualTo(4);
         assertThat(warm.lifetime()).isEqualTo(Timing.MAX_GRANT_LIFETIME);
-        assertThat(ask(9, 7, false).allowed()).isEqualTo(4);
-        assertThat(ask(9, 8, false).allowed()).isEqualTo(8);
-        assertThat(ask(9, 999, false).allowed()).isEqualTo(8);
+        assertThat(request(9, 7, false).allowed()).isEqualTo(4);
+        assertThat(request(9, 8, false).allowed()).isEqualTo(8);
+        assertThat(request(9, 999, false).allowed()).isEqualTo(8);
     }
 
     @Test
     void grantsNothingWhileItMayNot() {
         ownership.grantAllowed = () -> false;
-        GrantOffer offer = ask(1, 0, false);
+        GrantOffer offer = request(1, 0, false);
         assertThat(offer.allowed()).isZero();
         assertThat(offer.lifetime()).isEqualTo(Duration.ZERO);
     }
@@ -106,8 +106,9 @@
         LoadReport report = new LoadReport(Instant.ofEpochMilli(1), now, 3, 0, 8, Optional.empty(), 0, 0);
         next.onLoadReport(ID, report, now, effects);
         GrantDemand demand = new GrantDemand(ID, 3, 3, 100, false, Optional.of(Instant.ofEpochMilli(1)));
-        GrantAsk ask = new GrantAsk(1, 0, List.of(demand));
-        GrantOffer offer = next.answer(HOLDER, ask, now, effects).get().offers().get(0);
+        GrantRequest request = new GrantRequest(1, 0, List.of(demand));
+        GrantOffer offer =
+                next.answer(HOLDER, request, now, effects).get().offers().get(0);
         assertThat(offer.cold()).isFalse();
         assertThat(offer.allowed()).isEqualTo(3);
     }
@@ -120,17 +121,17 @@
     void aNewOwnerWaitsForWhatMayStillRun() {
         ownership.fencingNumber = 2;
         report(1);
-        assertThat(ask(1, 0, false).allowed()).isZero();
+        assertThat(request(1, 0, false).allowed()).isZero();
         now = now.plusMillis(2_999);
         report(1);
-        assertThat(ask(1, 0, false).allowed()).isZero();
+        assertThat(request(1, 0, false).allowed()).isZero();
         now = now.plusMillis(1);
         report(1);
-        assertThat(ask(1, 0, false).allowed()).isEqualTo(1);
+        assertThat(request(1, 0, false).allowed()).isEqualTo(1);
         ownership.fencingNumber = 3;
-        assertThat(ask(1, 0, false).allowed()).isZero();
+        assertThat(request(1, 0, false).allowed()).isZero();
         now = now.plus(GrantOwner.MAX_ATTEMPT_DURATION);
-        assertThat(ask(1, 0, false).allowed()).isEqualTo(1);
+        assertThat(request(1, 0, false).allowed()).isEqualTo(1);
     }
 
     /**
@@ -140,13 +141,13 @@
      */
     @Test
     void aPausedOwnerTreatsItsUpstreamsAsCold() {
-        assertThat(ask(9, 100, false).cold()).isFalse();
+        assertThat(request(9, 100, false).cold()).isFalse();
         now = now.plusMillis(1_501);
         report(1);
-        assertThat(ask(9, 200, false).cold()).isTrue();
+        assertThat(request(9, 200, false).cold()).isTrue();
         owner.onTick(now, effects);
         report(1);
-        assertThat(ask(9, 200, false).cold()).isFalse();
+        assertThat(request(9, 200, false).cold()).isFalse();
     }
 
     /**
@@ -155,21 +156,21 @@
      */
     @Test
     void aReportOfNothingInUseFreesNoUnacknowledgedAllowance() {
-        assertThat(ask(2, 0, false).allowed()).isEqualTo(2);
-        assertThat(askAsAnotherHolder(1)).isZero();
+        assertThat(request(2, 0, false).allowed()).isEqualTo(2);
+        assertThat(requestAsAnotherHolder(1)).isZero();
         now = now.plus(GrantOwner.COLD_TURN);
-        assertThat(ask(2, 0, false).allowed()).isEqualTo(1);
-        assertThat(askAsAnotherHolder(2)).isZero();
-        assertThat(ask(2, 0, false).allowed()).isEqualTo(1);
-        assertThat(askAsAnotherHolder(3)).isEqualTo(1);
+        assertThat(request(2, 0, false).allowed()).isEqualTo(1);
+        assertThat(requestAsAnotherHolder(2)).isZero();
+        assertThat(request(2, 0, false).allowed()).isEqualTo(1);
+        assertThat(requestAsAnotherHolder(3)).isEqualTo(1);
     }
 
-    private int askAsAnotherHolder(long number) {
+    private int requestAsAnotherHolder(long number) {
         NodeId other = new NodeId(new VmId("node-3"), 1);
         ownership.members.add(other);
         GrantDemand demand = new GrantDemand(ID, 1, 0, 0, false, Optional.empty());
-        GrantAsk ask = new GrantAsk(number, number - 1, List.of(demand));
-        return owner.answer(other, ask, now, effects).get().offers().get(0).allowed();
+        GrantRequest request = new GrantRequest(number, number - 1, List.of(demand));
+        return owner.answer(other, request, now, effects).get().offers().get(0).allowed();
     }
 
     /**
@@ -178,26 +179,26 @@
      */
     @Test
     void withdrawsAtOnceWhenTheUpstreamRestarts() {
-        ask(9, 100, false);
+        request(9, 100, false);
         effects.drain();
         report(2);
         assertThat(withdrawals()).singleElement().satisfies(reply -> {
             assertThat(reply.sequence()).isZero();
             assertThat(reply.offers().get(0).allowed()).isZero();
         });
-        assertThat(ask(9, 101, false).cold()).isTrue();
+        assertThat(request(9, 101, false).cold()).isTrue();
     }
 
     @Test
     void turnsColdOnAFailureAndOnMissingReports() {
-        ask(9, 100, false);
-        assertThat(ask(9, 0, true).cold()).isTrue();
-        assertThat(ask(9, 4, false).cold()).isFalse();
+        request(9, 100, false);
+        assertThat(request(9, 0, true).cold()).isTrue();
+        assertThat(request(9, 4, false).cold()).isFalse();
         owner.onLoadMissing(ID, now, effects);
         owner.onLoadMissing(ID, now, effects);
-        assertThat(ask(9, 4, false).cold()).isFalse();
+        assertThat(request(9, 4, false).cold()).isFalse();
         owner.onLoadMissing(ID, now, effects);
-        assertThat(ask(9, 4, false).cold()).isTrue();
+        assertThat(request(9, 4, false).cold()).isTrue();
     }
 
     /**
@@ -206,12 +207,12 @@
      */
     @Test
     void successesFromBeforeAFailureAreNoEvidence() {
-        ask(9, 3, false);
+        request(9, 3, false);
         GrantDemand failed = new GrantDemand(ID, 1, 0, 0, true, Optional.of(Instant.ofEpochMilli(1)));
-        owner.answer(new NodeId(new VmId("node-3"), 1), new GrantAsk(1, 0, List.of(failed)), now, effects);
-        assertThat(ask(9, 50, false).cold()).isTrue();
-        assertThat(ask(9, 53, false).cold()).isTrue();
-        assertThat(ask(9, 54, false).cold()).isFalse();
+        owner.answer(new NodeId(new VmId("node-3"), 1), new GrantRequest(1, 0, List.of(failed)), now, effects);
+        assertThat(request(9, 50, false).cold()).isTrue();
+        assertThat(request(9, 53, false).cold()).isTrue();
+        assertThat(request(9, 54, false).cold()).isFalse();
     }
 
     /**
@@ -220,31 +221,31 @@
      */
     @Test
     void withdrawsFromAnUpstreamThatLeavesOrIsTakenOut() {
-        ask(1, 0, false);
+        request(1, 0, false);
         configuration.outOfService.add(ID);
         owner.onTick(now, effects);
         assertThat(withdrawals()).hasSize(1);
-        assertThat(ask(1, 0, false).allowed()).isZero();
+        assertThat(request(1, 0, false).allowed()).isZero();
         configuration.outOfService.clear();
         now = now.plus(GrantOwner.DEMAND_LIFETIME);
-        assertThat(ask(1, 0, false).allowed()).isEqualTo(1);
+        assertThat(request(1, 0, false).allowed()).isEqualTo(1);
         effects.drain();
         owner.onVmList(List.of(vm(true)), now);
         owner.onTick(now, effects);
         assertThat(withdrawals()).hasSize(1);
-        assertThat(ask(1, 0, false).allowed()).isZero();
+        assertThat(request(1, 0, false).allowed()).isZero();
     }
 
     /** Guards against overloading a failure domain that comes back with the load that it took before it left. */
     @Test
     void beginsColdWhenItComesBackIntoService() {
-        assertThat(ask(9, 100, false).cold()).isFalse();
+        assertThat(request(9, 100, false).cold()).isFalse();
         configuration.outOfService.add(ID);
         owner.onTick(now, effects);
         configuration.outOfService.clear();
         owner.onTick(now, effects);
-        assertThat(ask(9, 101, false).cold()).isTrue();
-        assertThat(ask(9, 105, false).cold()).isFalse();
+        assertThat(request(9, 101, false).cold()).isTrue();
+        assertThat(request(9, 105, false).cold()).isFalse();
     }
 
     /**
@@ -300,7 +301,7 @@
         holder.want(POOL, wanted);
         holder.onTick(now, effects);
         Effect.SendToPeer message = (Effect.SendToPeer) effects.drain().getFirst();
-        return ((GrantAsk) message.message()).demands().size();
+        return ((GrantRequest) message.message()).demands().size();
     }
 
     private static List<Vm> upstreams(int count) {
@@ -328,8 +329,8 @@
         holder.onTick(now, effects);
         assertThat(effects.drain()).singleElement().satisfies(effect -> {
             Effect.SendToPeer message = (Effect.SendToPeer) effect;
-            GrantAsk ask = (GrantAsk) message.message();
-            assertThat(ask.demands()).hasSize(GrantHolder.MAX_FAN_OUT).allMatch(each -> each.wanted() == 7);
+            GrantRequest request = (GrantRequest) message.message();
+            assertThat(request.demands()).hasSize(GrantHolder.MAX_FAN_OUT).allMatch(each -> each.wanted() == 7);
         });
     }
 }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/grant/GrantSimulation.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/grant/GrantSimulation.java
@@ -289,8 +289,8 @@
 
         private void receive(NodeId sender, PeerMessage message) {
             execute(() -> {
-                if (message instanceof PeerMessage.GrantAsk ask) {
-                    owner.onAsk(sender, ask, clock(), effects);
+                if (message instanceof PeerMessage.GrantRequest request) {
+                    owner.onGrantRequest(sender, request, clock(), effects);
                 }
                 if (message instanceof PeerMessage.GrantReply reply) {
                     holder.onReply(sender, reply, clock(), effects);
@@ -470,7 +470,7 @@
         }
 
         private void requestLoad(Member member) {
-            GrantOwner asker = member.owner;
+            GrantOwner requester = member.owner;
             after(1 + random.nextInt(50), () -> {
                 boolean missing = now < downUntil || faults && random.nextInt(20) == 0;
                 LoadReport answer = reportHistory.isEmpty() ? report() : reportHistory.peekFirst();
@@ -479,13 +479,13 @@
                 }
                 LoadReport report = answer;
                 member.execute(() -> {
-                    if (member.owner != asker) {
+                    if (member.owner != requester) {
                         return;
                     }
                     if (missing) {
-                        asker.onLoadMissing(UPSTREAM, member.clock(), member.effects);
+                        requester.onLoadMissing(UPSTREAM, member.clock(), member.effects);
                     } else {
-                        asker.onLoadReport(UPSTREAM, report, member.clock(), member.effects);
+                        requester.onLoadReport(UPSTREAM, report, member.clock(), member.effects);
                     }
                 });
             });
--- a/wagtaillug-core/src/test/java/org/wagtaillug/membership/MembersTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/membership/MembersTest.java
@@ -26,8 +26,8 @@
 import org.wagtaillug.message.PeerMessage.Position;
 import org.wagtaillug.message.PeerMessage.Probe;
 import org.wagtaillug.message.PeerMessage.ProbeReply;
-import org.wagtaillug.message.PeerMessage.StateAsk;
 import org.wagtaillug.message.PeerMessage.StateReply;
+import org.wagtaillug.message.PeerMessage.StateRequest;
 import org.wagtaillug.node.Effect;
 import org.wagtaillug.node.Effects;
 
@@ -94,8 +94,8 @@
         return found;
     }
 
-    private boolean asks(VmId peer) {
-        return last.contains(new Effect.SendToPeer(peer, new StateAsk()));
+    private boolean requestsStateFrom(VmId peer) {
+        return last.contains(new Effect.SendToPeer(peer, new StateRequest()));
     }
 
     @Test
@@ -147,9 +147,11 @@
         read();
         before = members.freshUntil();
         tick(950);
-        assertThat(asks(new VmId("entry-2"))).as("the log has precedence").isFalse();
+        assertThat(requestsStateFrom(new VmId("entry-2")))
+                .as("the log has precedence")
+                .isFalse();
         tick(50);
-        assertThat(asks(new VmId("entry-2"))).isTrue();
+        assertThat(requestsStateFrom(new VmId("entry-2"))).isTrue();
         answer(2, new Position(state.through(), state.digest() + 1), Duration.ZERO, true);
         assertThat(members.freshUntil()).isEqualTo(before);
         tick(500);
@@ -191,7 +193,7 @@
                 .as("a peer has read one record more")
                 .isEqualTo(ViewStatus.CUT_OFF);
         tick(50);
-        assertThat(asks(new VmId("entry-4"))).isTrue();
+        assertThat(requestsStateFrom(new VmId("entry-4"))).isTrue();
     }
 
     @Test
@@ -216,7 +218,7 @@
         now = now.plusMillis(50);
         late.onTick(now, effects);
         last = effects.drain();
-        assertThat(asks(new VmId("entry-2"))).isTrue();
+        assertThat(requestsStateFrom(new VmId("entry-2"))).isTrue();
         StateReply reply = new StateReply(state.through(), state.entries(), state.members());
         late.onPeerMessage(node(3), reply, now, effects);
         assertThat(cold.complete())
@@ -411,14 +413,15 @@
         answer(2, position, Duration.ZERO, true);
         tick(500);
         assertThat(last)
-                .noneMatch(effect -> effect instanceof Effect.SendToPeer send && send.message() instanceof StateAsk);
+                .noneMatch(
+                        effect -> effect instanceof Effect.SendToPeer send && send.message() instanceof StateRequest);
         answer(2, position, Duration.ZERO, true);
         answer(3, position, Duration.ZERO, true);
         tick(500);
-        VmId asked = new VmId(asks(new VmId("entry-2")) ? "entry-2" : "entry-3");
-        assertThat(asks(asked)).isTrue();
+        VmId requested = new VmId(requestsStateFrom(new VmId("entry-2")) ? "entry-2" : "entry-3");
+        assertThat(requestsStateFrom(requested)).isTrue();
         StateReply reply = new StateReply(correct.through(), correct.entries(), correct.members());
-        members.onPeerMessage(new NodeId(asked, 1), reply, now, effects);
+        members.onPeerMessage(new NodeId(requested, 1), reply, now, effects);
         assertThat(state.digest()).isEqualTo(correct.digest());
         assertThat(state.inService(UPSTREAM)).isFalse();
     }
--- a/wagtaillug-link/src/main/java/org/wagtaillug/link/GrantCodec.java
+++ b/wagtaillug-link/src/main/java/org/wagtaillug/link/GrantCodec.java
@@ -18,21 +18,21 @@
 final class GrantCodec {
     private GrantCodec() {}
 
-    static GrantAskMessage encode(PeerMessage.GrantAsk ask) {
+    static GrantAskMessage encode(PeerMessage.GrantRequest request) {
         GrantAskMessage.Builder message =
-                GrantAskMessage.newBuilder().setSequence(ask.sequence()).setApplied(ask.applied());
-        for (PeerMessage.GrantDemand demand : ask.demands()) {
+                GrantAskMessage.newBuilder().setSequence(request.sequence()).setApplied(request.applied());
+        for (PeerMessage.GrantDemand demand : request.demands()) {
             message.addDemands(encode(demand));
         }
         return message.build();
     }
 
-    static PeerMessage.GrantAsk decode(GrantAskMessage message) {
+    static PeerMessage.GrantRequest decode(GrantAskMessage message) {
         List<PeerMessage.GrantDemand> demands = new ArrayList<>(message.getDemandsCount());
         for (GrantDemandMessage demand : message.getDemandsList()) {
             demands.add(decode(demand));
         }
-        return new PeerMessage.GrantAsk(message.getSequence(), message.getApplied(), List.copyOf(demands));
+        return new PeerMessage.GrantRequest(message.getSequence(), message.getApplied(), List.copyOf(demands));
     }
 
     static GrantReplyMessage encode(PeerMessage.GrantReply reply) {
--- a/wagtaillug-link/src/main/java/org/wagtaillug/link/PeerMessageCodec.java
+++ b/wagtaillug-link/src/main/java/org/wagtaillug/link/PeerMessageCodec.java
@@ -37,9 +37,9 @@
                 message.setProbe(
                         ProbeMessage.newBuilder().setSequence(probe.sequence()).setPosition(encode(probe.position())));
             case PeerMessage.ProbeReply reply -> message.setProbeReply(encode(reply));
-            case PeerMessage.StateAsk ignored -> message.setStateAsk(StateAskMessage.getDefaultInstance());
+            case PeerMessage.StateRequest ignored -> message.setStateAsk(StateAskMessage.getDefaultInstance());
             case PeerMessage.StateReply reply -> message.setStateReply(encode(reply));
-            case PeerMessage.GrantAsk ask -> message.setGrantAsk(GrantCodec.encode(ask));
+            case PeerMessage.GrantRequest request -> message.setGrantAsk(GrantCodec.encode(request));
             case PeerMessage.GrantReply reply -> message.setGrantReply(GrantCodec.encode(reply));
             case ServingMessage serving -> ServingCodec.encode(serving, message);
         }
@@ -70,7 +70,7 @@
                                 message.getProbe().getSequence(),
                                 decode(message.getProbe().getPosition()))));
             case PROBE_REPLY -> Either.right(new Envelope(sender, receiver, decode(message.getProbeReply())));
-            case STATE_ASK -> Either.right(new Envelope(sender, receiver, new PeerMessage.StateAsk()));
+            case STATE_ASK -> Either.right(new Envelope(sender, receiver, new PeerMessage.StateRequest()));
             case STATE_REPLY -> Either.right(new Envelope(sender, receiver, decode(message.getStateReply())));
             case GRANT_ASK -> Either.right(new Envelope(sender, receiver, GrantCodec.decode(message.getGrantAsk())));
             case GRANT_REPLY ->
--- a/wagtaillug-link/src/test/java/org/wagtaillug/link/CodecTest.java
+++ b/wagtaillug-link/src/test/java/org/wagtaillug/link/CodecTest.java
@@ -138,7 +138,7 @@
                 "ProbeReply",
                 new PeerMessage.ProbeReply(1_000_000, position, Optional.of(Duration.ofMillis(999)), true, true),
                 64);
-        assertSize("GrantAsk with 16 demands", new PeerMessage.GrantAsk(1_000_000, 1_000_000, demands), 850);
+        assertSize("GrantAsk with 16 demands", new PeerMessage.GrantRequest(1_000_000, 1_000_000, demands), 850);
         assertSize("GrantReply with 16 offers", new PeerMessage.GrantReply(1_000_000, withoutReports), 640);
         assertSize("GrantReply with 16 reported offers", new PeerMessage.GrantReply(1_000_000, withReports), 1_500);
     }
--- a/wagtaillug-link/src/test/java/org/wagtaillug/link/Samples.java
+++ b/wagtaillug-link/src/test/java/org/wagtaillug/link/Samples.java
@@ -92,13 +92,14 @@
                         VMS, INTS, INTS, LONGS, BOOLEANS, optional(INSTANTS))
                 .as(PeerMessage.GrantDemand::new);
         Arbitrary<PeerMessage> asks =
-                Combinators.combine(LONGS, LONGS, demands.list().ofMaxSize(4)).as(PeerMessage.GrantAsk::new);
+                Combinators.combine(LONGS, LONGS, demands.list().ofMaxSize(4)).as(PeerMessage.GrantRequest::new);
         Arbitrary<PeerMessage.GrantOffer> offers = Combinators.combine(
                         VMS, INTS, DURATIONS, BOOLEANS, optional(REPORTS))
                 .as(PeerMessage.GrantOffer::new);
         Arbitrary<PeerMessage> grants =
                 Combinators.combine(LONGS, offers.list().ofMaxSize(4)).as(PeerMessage.GrantReply::new);
-        return Arbitraries.oneOf(probes, replies, Arbitraries.just(new PeerMessage.StateAsk()), states, asks, grants);
+        return Arbitraries.oneOf(
+                probes, replies, Arbitraries.just(new PeerMessage.StateRequest()), states, asks, grants);
     }
 
     static Arbitrary<NodeId> nodes() {
