--- a/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchScheduler.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/batch/BatchScheduler.java
@@ -181,7 +181,7 @@
     }
 
     /** The expected queue delay of an order of a rank, for a pool that is scheduled by this node. */
-    public Duration waitOf(PoolId pool, int rank, Instant now) {
+    public Duration queueDelayOf(PoolId pool, int rank, Instant now) {
         return expectedWait(pool, rank, usableServers(pool), now);
     }
 
@@ -190,7 +190,7 @@
         List<QueueDelayEstimate> waits = new ArrayList<>();
         for (PoolId pool : queues.keySet()) {
             for (int rank : throughput(pool).ranks(now)) {
-                Duration wait = waitOf(pool, rank, now);
+                Duration wait = queueDelayOf(pool, rank, now);
                 if (wait.compareTo(MIN_PUBLISHED_WAIT) >= 0 && waits.size() < MAX_PUBLISHED_WAITS) {
                     waits.add(new QueueDelayEstimate(pool, rank, wait));
                 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/peer/Peers.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/peer/Peers.java
@@ -298,7 +298,7 @@
      * The expected queueing delay of an order of a given rank at a pool whose calls a peer schedules, according to its
      * last heartbeat.
      */
-    public Duration waitOf(VmId id, PoolId pool, int rank) {
+    public Duration queueDelayOf(VmId id, PoolId pool, int rank) {
         Duration longest = Duration.ZERO;
         if (!peers.containsKey(id)) {
             return longest;
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/FlowSteps.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/FlowSteps.java
@@ -76,8 +76,8 @@
     }
 
     /** The expected waiting time of an order with this rank at a pool. */
-    Duration waitOf(PoolId pool, int rank, Instant now) {
-        return orders.waitOf(pool, rank, now);
+    Duration queueDelayOf(PoolId pool, int rank, Instant now) {
+        return orders.queueDelayOf(pool, rank, now);
     }
 
     /** Orders the items of a step. Returns false if its pool accepts no items. */
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/RequestFlows.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/RequestFlows.java
@@ -205,7 +205,7 @@
             return false;
         }
         PathEstimate.Path estimate =
-                pathEstimate.estimate(flow, configuration, (pool, rank) -> steps.waitOf(pool, rank, now), now);
+                pathEstimate.estimate(flow, configuration, (pool, rank) -> steps.queueDelayOf(pool, rank, now), now);
         Duration excess = estimate.total().minus(flow.route().latencyTarget()).minus(BatchScheduler.LATE_GRACE);
         // A retry that comes after its latency target must not be refused for missing it while its pools are idle.
         if (estimate.waits().isZero() || !excess.isPositive()) {
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/StepOrders.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/StepOrders.java
@@ -125,11 +125,11 @@
      * The expected waiting time of an order with this rank at a pool, as reported by the node that schedules the
      * pool.
      */
-    Duration waitOf(PoolId pool, int rank, Instant now) {
+    Duration queueDelayOf(PoolId pool, int rank, Instant now) {
         VmId currentScheduler = schedulerOf(pool, now);
         return currentScheduler.equals(self.vm())
-                ? scheduler.waitOf(pool, rank, now)
-                : peers.waitOf(currentScheduler, pool, rank);
+                ? scheduler.queueDelayOf(pool, rank, now)
+                : peers.queueDelayOf(currentScheduler, pool, rank);
     }
 
     private VmId schedulerOf(PoolId pool, Instant now) {
--- a/wagtaillug-core/src/test/java/org/wagtaillug/batch/BatchSchedulerTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/batch/BatchSchedulerTest.java
@@ -263,6 +263,6 @@
         assertThat(wait.rank()).isEqualTo(1);
         // 29 items wait; a full call of six takes 270 ms.
         assertThat(wait.expected()).isBetween(Duration.ofMillis(1200), Duration.ofMillis(1600));
-        assertThat(scheduler.waitOf(POOL, 0, now)).isZero();
+        assertThat(scheduler.queueDelayOf(POOL, 0, now)).isZero();
     }
 }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/PathEstimateTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/PathEstimateTest.java
@@ -48,7 +48,7 @@
         return new ServingConfiguration(1, new RouteTable(List.of(ROUTE)), pools, CallerLimits.DEFAULTS, Map.of());
     }
 
-    private PathEstimate.Path estimate(int waitOfFirst, int waitOfSecond) {
+    private PathEstimate.Path estimate(int queueDelayOfFirst, int queueDelayOfSecond) {
         RoutedRequest request = new RoutedRequest(
                 new RequestId("r"),
                 "club.example",
@@ -64,7 +64,7 @@
         return pathEstimate.estimate(
                 flow,
                 configuration(),
-                (pool, rank) -> Duration.ofMillis(pool.equals(FIRST) ? waitOfFirst : waitOfSecond),
+                (pool, rank) -> Duration.ofMillis(pool.equals(FIRST) ? queueDelayOfFirst : queueDelayOfSecond),
                 NOW);
     }
 
