--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/FeedExchange.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/FeedExchange.java
@@ -158,7 +158,7 @@
         }
     }
 
-    void onForgotten(FeedName name, Instant now) {
+    void onTruncated(FeedName name, Instant now) {
         readers.get(name).onTruncated(now);
     }
 
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/Serving.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/Serving.java
@@ -99,7 +99,7 @@
             case ServingEvent.PeerDisconnected disconnected -> peers.onDisconnected(disconnected.peer(), now);
             case ServingEvent.FeedListed listed -> feeds.onListed(listed, now);
             case ServingEvent.FeedRead read -> feeds.onRead(read, now);
-            case ServingEvent.FeedForgotten forgotten -> feeds.onForgotten(forgotten.feed(), now);
+            case ServingEvent.FeedTruncated truncated -> feeds.onTruncated(truncated.feed(), now);
             case ServingEvent.FeedFailed failed -> {
                 if (feeds.onFailed(failed, now)) {
                     membership.notifyFollowers(heartbeat(true, now), now);
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/ServingEvent.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/ServingEvent.java
@@ -94,7 +94,7 @@
      *
      * @param feed the feed
      */
-    record FeedForgotten(FeedName feed) implements ServingEvent {}
+    record FeedTruncated(FeedName feed) implements ServingEvent {}
 
     /**
      * A read was not answered or was refused.
