--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/Event.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/Event.java
@@ -32,7 +32,7 @@
      *
      * @param request the request
      */
-    record CallerLeft(RequestId request) implements Event {}
+    record CallerDisconnected(RequestId request) implements Event {}
 
     /**
      * An attempt made progress: the first token or the response header arrived.
--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/ClaimsOnceOnly.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/KeyClaimsAdapter.java
@@ -10,7 +10,7 @@
 import org.wagtaillug.result.RunState;
 
 /** Adapter from the dispatcher's {@link KeyClaims} to {@link Claims}. */
-record ClaimsOnceOnly(Claims claims) implements KeyClaims {
+record KeyClaimsAdapter(Claims claims) implements KeyClaims {
     @Override
     public void requestClaim(
             RequestId request, IdempotencyKey key, String bodyDigest, Instant deadline, Instant now, Effects effects) {
--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/Node.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/Node.java
@@ -87,7 +87,7 @@
         RoutingPolicy policy = setup.baselinePolicy()
                 ? new RoundRobinPolicy(upstreams)
                 : new LeastCompletionPolicy(upstreams, setup.address().domain());
-        dispatcher = new Dispatcher(setup.limits(), state, upstreams, policy, new ClaimsOnceOnly(claims), drain);
+        dispatcher = new Dispatcher(setup.limits(), state, upstreams, policy, new KeyClaimsAdapter(claims), drain);
     }
 
     /** Handles one event and returns the effects to execute, in order. */
@@ -95,7 +95,8 @@
         switch (event) {
             case Event.Tick ignored -> onTick(now);
             case Event.RequestArrived arrived -> onRequest(arrived.request(), now);
-            case Event.CallerLeft left -> dispatcher.onCallerDisconnected(left.request(), now, effects);
+            case Event.CallerDisconnected disconnected ->
+                dispatcher.onCallerDisconnected(disconnected.request(), now, effects);
             case Event.AttemptProgressed progressed -> dispatcher.onProgress(progressed.attempt(), now);
             case Event.AttemptEnded ended -> dispatcher.onEnded(ended.attempt(), ended.end(), now, effects);
             case Event.PeerMessageReceived received -> onPeerMessage(received, now);
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/RequestFlows.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/RequestFlows.java
@@ -184,7 +184,7 @@
         int rank = customerRank * CUSTOMER_RANK_FACTOR + route.rank();
         Flow flow = new Flow(request, route, customer.map(Customer::id), rank, now);
         Duration needed = remainingTime.fromArrival(flow, now);
-        if (!shutdown.enoughFor(needed, now)) {
+        if (!shutdown.hasTimeFor(needed, now)) {
             refuseAtShutdown(flow, needed, now);
             return;
         }
@@ -290,7 +290,7 @@
                     now);
             return;
         }
-        if (!shutdown.enoughFor(remainingTime.fromArrival(flow, now), now)) {
+        if (!shutdown.hasTimeFor(remainingTime.fromArrival(flow, now), now)) {
             refuse(flow, ResultCode.SHUTTING_DOWN, Duration.ZERO, SHUTTING_DOWN_MESSAGE, now);
             return;
         }
@@ -304,7 +304,7 @@
             restartSteps(flow, DEFAULT_RETRY_AFTER, now);
             return;
         }
-        if (!shutdown.enoughFor(remainingTime.fromSending(flow, now), now)) {
+        if (!shutdown.hasTimeFor(remainingTime.fromSending(flow, now), now)) {
             fail(flow, ResultCode.SHUTTING_DOWN, SHUTTING_DOWN_MESSAGE, now);
             return;
         }
@@ -518,7 +518,7 @@
         boolean allowed = flow.route().repeatable()
                 && flow.executions() < flow.route().attempts()
                 && now.isBefore(flow.deadline())
-                && shutdown.enoughFor(remainingTime.fromSending(flow, now), now);
+                && shutdown.hasTimeFor(remainingTime.fromSending(flow, now), now);
         return allowed && budget(flow.pool()).tryAcquire(now);
     }
 
@@ -564,7 +564,7 @@
         log.finish(flow, outcome, reason, now);
     }
 
-    void onCallerLeft(RequestId id, Instant now) {
+    void onCallerDisconnected(RequestId id, Instant now) {
         Flow flow = flows.get(id);
         if (flow == null) {
             return;
@@ -594,7 +594,7 @@
     void refuseUnanswerable(Instant now) {
         for (Flow flow : List.copyOf(flows.values())) {
             boolean unsent = flow.target().isEmpty() && !flow.answerStarted();
-            if (unsent && !shutdown.enoughFor(remainingTime.fromSending(flow, now), now)) {
+            if (unsent && !shutdown.hasTimeFor(remainingTime.fromSending(flow, now), now)) {
                 refuse(flow, ResultCode.SHUTTING_DOWN, Duration.ZERO, SHUTTING_DOWN_MESSAGE, now);
             }
         }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/Serving.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/Serving.java
@@ -86,7 +86,8 @@
         switch (event) {
             case ServingEvent.Tick ignored -> onTick(now);
             case ServingEvent.RequestArrived arrived -> onRequest(arrived.request(), now);
-            case ServingEvent.CallerLeft left -> flows.onCallerLeft(left.request(), now);
+            case ServingEvent.CallerDisconnected disconnected ->
+                flows.onCallerDisconnected(disconnected.request(), now);
             case ServingEvent.AnswerStarted started -> flows.onAnswerStarted(started.request(), started.attempt(), now);
             case ServingEvent.SendEnded ended -> flows.onSendEnded(ended.request(), ended.attempt(), ended.end(), now);
             case ServingEvent.BatchCallEnded ended -> orders.scheduler().onCallEnded(ended.call(), ended.end(), now);
@@ -106,7 +107,7 @@
                 }
             }
             case ServingEvent.RecordWritten written -> membership.onRecordWritten(written, now);
-            case ServingEvent.DrainStarted started -> onDrainStarted(started.askedAt(), now);
+            case ServingEvent.DrainStarted started -> onDrainStarted(started.requestedAt(), now);
             case ServingEvent.PortsClosing ignored -> shutdown.closePorts();
         }
         feeds.setActive(FeedName.ROLLOUTS, rollouts.inProgress());
@@ -170,8 +171,8 @@
         }
     }
 
-    private void onDrainStarted(Instant askedAt, Instant now) {
-        shutdown.start(askedAt);
+    private void onDrainStarted(Instant requestedAt, Instant now) {
+        shutdown.start(requestedAt);
         log(Decision.builder("shutdown_begins")
                 .field("since_signal_ms", shutdown.since(now).toMillis())
                 .field("grace_ms", setup.drainGrace().toMillis())
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/ServingEvent.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/ServingEvent.java
@@ -28,7 +28,7 @@
      *
      * @param request the caller's request
      */
-    record CallerLeft(RequestId request) implements ServingEvent {}
+    record CallerDisconnected(RequestId request) implements ServingEvent {}
 
     /**
      * An upstream has started a successful answer.
@@ -130,10 +130,10 @@
     /**
      * The process has received the signal to shut down.
      *
-     * @param askedAt time of the signal; a process that is signalled during its startup reports it only after the
+     * @param requestedAt time of the signal; a process that is signalled during its startup reports it only after the
      *     startup
      */
-    record DrainStarted(Instant askedAt) implements ServingEvent {}
+    record DrainStarted(Instant requestedAt) implements ServingEvent {}
 
     /**
      * All answers are written and the process is closing its ports: no request that is read from now on may be
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/Shutdown.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/Shutdown.java
@@ -25,8 +25,8 @@
         this.grace = new GracePeriod(grace);
     }
 
-    void start(Instant askedAt) {
-        grace.start(askedAt);
+    void start(Instant requestedAt) {
+        grace.start(requestedAt);
     }
 
     boolean started() {
@@ -39,7 +39,7 @@
     }
 
     /** Whether work of this duration completes before the final answers have to be given. */
-    boolean enoughFor(Duration needed, Instant now) {
+    boolean hasTimeFor(Duration needed, Instant now) {
         return !portsClosing && grace.hasTimeFor(needed, now);
     }
 
@@ -49,7 +49,7 @@
     }
 
     /**
-     * Makes {@link #enoughFor} false for any duration: a request that is read while the ports close would be cut off.
+     * Makes {@link #hasTimeFor} false for any duration: a request that is read while the ports close would be cut off.
      */
     void closePorts() {
         portsClosing = true;
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingRandomTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingRandomTest.java
@@ -209,7 +209,7 @@
             if (observed.finalAnswers == 0) {
                 observed.callerLeft = true;
                 observed.awaitingEnd = false;
-                world.handle(node(observed.node), new ServingEvent.CallerLeft(id));
+                world.handle(node(observed.node), new ServingEvent.CallerDisconnected(id));
                 check();
             }
         }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingTest.java
@@ -278,8 +278,8 @@
         world.startServing();
         RequestId sent = world.request(1, "lookup");
         RequestId waiting = world.request(1, "draft", 2);
-        world.handle(node(1), new ServingEvent.CallerLeft(sent));
-        world.handle(node(1), new ServingEvent.CallerLeft(waiting));
+        world.handle(node(1), new ServingEvent.CallerDisconnected(sent));
+        world.handle(node(1), new ServingEvent.CallerDisconnected(waiting));
         world.run(SECOND);
         assertThat(world.effects(ServingEffect.CancelSend.class)).hasSize(1);
         assertThat(world.sends(waiting)).isEmpty();
@@ -565,7 +565,7 @@
         RequestId id = new RequestId("asked-twice");
         world.request(1, id, "/lookup/1", Optional.of(ServingWorld.KEY));
         int first = world.sends(id).getLast().attempt();
-        world.handle(ServingWorld.node(1), new ServingEvent.CallerLeft(id));
+        world.handle(ServingWorld.node(1), new ServingEvent.CallerDisconnected(id));
         world.request(1, id, "/lookup/1", Optional.of(ServingWorld.KEY));
         world.handle(ServingWorld.node(1), new ServingEvent.SendEnded(id, first, new SendEnd.GivenUp()));
         assertThat(world.effects(ServingEffect.Finished.class).stream()
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/callers/CallersHandler.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/callers/CallersHandler.java
@@ -187,7 +187,7 @@
     }
 
     private void onDisconnect(CallerExchange caller) {
-        events.accept(new Event.CallerLeft(caller.request().id()));
+        events.accept(new Event.CallerDisconnected(caller.request().id()));
     }
 
     private Refusal tooLarge() {
--- a/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/RoutedHandler.java
+++ b/wagtaillug-daemon/src/main/java/org/wagtaillug/daemon/routed/RoutedHandler.java
@@ -139,16 +139,16 @@
             return;
         }
         events.accept(new ServingEvent.RequestArrived(exchange.routed()));
-        exchange.watch(() -> onCallerLeft(exchange));
+        exchange.watch(() -> onCallerDisconnected(exchange));
     }
 
     /**
      * After its request has ended, a caller may send another one with the same id while its first connection closes.
      */
-    private void onCallerLeft(RoutedExchange exchange) {
+    private void onCallerDisconnected(RoutedExchange exchange) {
         RequestId id = exchange.routed().id();
         if (exchanges.find(id).filter(open -> open == exchange).isPresent()) {
-            events.accept(new ServingEvent.CallerLeft(id));
+            events.accept(new ServingEvent.CallerDisconnected(id));
         }
     }
 
