--- a/wagtaillug-benchmarks/src/main/java/org/wagtaillug/benchmarks/GrantBenchmark.java
+++ b/wagtaillug-benchmarks/src/main/java/org/wagtaillug/benchmarks/GrantBenchmark.java
@@ -23,8 +23,8 @@
 import org.wagtaillug.id.VmId;
 import org.wagtaillug.membership.Ownership;
 import org.wagtaillug.membership.Vm;
-import org.wagtaillug.message.PeerMessage.GrantRequest;
 import org.wagtaillug.message.PeerMessage.GrantDemand;
+import org.wagtaillug.message.PeerMessage.GrantRequest;
 import org.wagtaillug.node.Effect;
 import org.wagtaillug.node.Effects;
 
@@ -72,7 +72,8 @@
     public List<Effect> renewal() {
         sequence++;
         now = now.plusMillis(1);
-        owner.onGrantRequest(nodes.get((int) (sequence % holders)), new GrantRequest(sequence, sequence - 1, demands), now, effects);
+        owner.onGrantRequest(
+                nodes.get((int) (sequence % holders)), new GrantRequest(sequence, sequence - 1, demands), now, effects);
         return effects.drain();
     }
 
