--- a/wagtaillug-core/src/main/java/org/wagtaillug/membership/Members.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/membership/Members.java
@@ -278,7 +278,7 @@
 
     private void onProbe(NodeId sender, Probe probe, Instant now, Effects effects) {
         repair.onPeerPosition(sender.vm(), probe.position(), now);
-        Optional<Duration> tailAge = log.tailReadSentAt().map(askedAt -> Duration.between(askedAt, now));
+        Optional<Duration> tailAge = log.tailReadSentAt().map(requestedAt -> Duration.between(requestedAt, now));
         effects.add(new Effect.SendToPeer(
                 sender.vm(), new ProbeReply(probe.sequence(), position(), tailAge, log.logReachable(now), ready)));
     }
--- a/wagtaillug-core/src/test/java/org/wagtaillug/membership/RosterSimulation.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/membership/RosterSimulation.java
@@ -185,7 +185,7 @@
         return 1 + random.nextInt((int) logDelay);
     }
 
-    private void read(SimulatedNode node, long from, Instant askedAt, long waitUntil) {
+    private void read(SimulatedNode node, long from, Instant requestedAt, long waitUntil) {
         if (logUnresponsive) {
             return;
         }
@@ -196,12 +196,12 @@
         after(delay(), () -> {
             LogBatch batch = log.read(from, 20);
             if (batch.entries().isEmpty() && time < waitUntil) {
-                read(node, from, askedAt, waitUntil);
+                read(node, from, requestedAt, waitUntil);
                 return;
             }
             after(
                     delay(),
-                    () -> node.receive(() -> node.control.onLogRead(askedAt, batch, node.clock(), node.effects)));
+                    () -> node.receive(() -> node.control.onLogRead(requestedAt, batch, node.clock(), node.effects)));
         });
     }
 
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingShutdownRandomTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/ServingShutdownRandomTest.java
@@ -32,13 +32,13 @@
 
     /** What callers and upstreams observe of one request. */
     private static final class Observed {
-        private final Instant askedAt;
+        private final Instant requestedAt;
         private final boolean hanging;
         private int sends;
         private int finalAnswers;
 
-        private Observed(Instant askedAt, boolean hanging) {
-            this.askedAt = askedAt;
+        private Observed(Instant requestedAt, boolean hanging) {
+            this.requestedAt = requestedAt;
             this.hanging = hanging;
         }
     }
@@ -86,7 +86,9 @@
             runLoad(grace);
             assertThat(nodeEnded).as("the node has ended, seed %d", seed).isTrue();
             requests.forEach((id, observed) -> assertThat(observed.finalAnswers)
-                    .as("final answers of %s, asked at %s, signal at %s, seed %d", id, observed.askedAt, signalAt, seed)
+                    .as(
+                            "final answers of %s, asked at %s, signal at %s, seed %d",
+                            id, observed.requestedAt, signalAt, seed)
                     .isEqualTo(1));
         }
 
@@ -185,12 +187,12 @@
         private void cut(RequestId request) {
             Observed observed = requests.get(request);
             observed.finalAnswers++;
-            boolean patient = world.now.isBefore(observed.askedAt.plus(callerTimeout));
-            boolean late = signalAt.isPresent() && !observed.askedAt.isBefore(signalAt.get());
+            boolean patient = world.now.isBefore(observed.requestedAt.plus(callerTimeout));
+            boolean late = signalAt.isPresent() && !observed.requestedAt.isBefore(signalAt.get());
             assertThat(late && patient && !observed.hanging)
                     .as(
                             "%s, asked at %s after the signal at %s, was cut, seed %d",
-                            request, observed.askedAt, signalAt, seed)
+                            request, observed.requestedAt, signalAt, seed)
                     .isFalse();
         }
 
