--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/Node.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/Node.java
@@ -87,7 +87,7 @@
         RoutingPolicy policy = setup.baselinePolicy()
                 ? new RoundRobinPolicy(upstreams)
                 : new LeastCompletionPolicy(upstreams, setup.address().domain());
-        dispatcher = new Dispatcher(setup.limits(), state, upstreams, policy, new ClaimsOnceOnly(claims), drain);
+        dispatcher = new Dispatcher(setup.limits(), state, upstreams, policy, new KeyClaimsAdapter(claims), drain);
     }
 
     /** Handles one event and returns the effects to execute, in order. */
@@ -95,7 +95,8 @@
         switch (event) {
             case Event.Tick ignored -> onTick(now);
             case Event.RequestArrived arrived -> onRequest(arrived.request(), now);
-            case Event.CallerLeft left -> dispatcher.onCallerDisconnected(left.request(), now, effects);
+            case Event.CallerDisconnected disconnected ->
+                dispatcher.onCallerDisconnected(disconnected.request(), now, effects);
             case Event.AttemptProgressed progressed -> dispatcher.onProgress(progressed.attempt(), now);
             case Event.AttemptEnded ended -> dispatcher.onEnded(ended.attempt(), ended.end(), now, effects);
             case Event.PeerMessageReceived received -> onPeerMessage(received, now);
@@ -176,14 +177,15 @@
 
     private void onPeerMessage(Event.PeerMessageReceived received, Instant now) {
         switch (received.message()) {
-            case PeerMessage.GrantAsk ask -> grantOwner.onAsk(received.sender(), ask, now, effects);
+            case PeerMessage.GrantRequest request ->
+                grantOwner.onGrantRequest(received.sender(), request, now, effects);
             case PeerMessage.GrantReply reply -> {
                 grantHolder.onReply(received.sender(), reply, now, effects);
                 dispatcher.onCapacityAvailable(now, effects);
             }
             case PeerMessage.Probe probe -> members.onPeerMessage(received.sender(), probe, now, effects);
             case PeerMessage.ProbeReply reply -> members.onPeerMessage(received.sender(), reply, now, effects);
-            case PeerMessage.StateAsk ask -> members.onPeerMessage(received.sender(), ask, now, effects);
+            case PeerMessage.StateRequest request -> members.onPeerMessage(received.sender(), request, now, effects);
             case PeerMessage.StateReply reply -> members.onPeerMessage(received.sender(), reply, now, effects);
             case ServingMessage ignored -> {
                 // Sent between nodes that route by host and path. This node does not, and owes no answer.
