--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/StepOrders.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/StepOrders.java
@@ -38,31 +38,29 @@
  * order that it already has.
  */
 final class StepOrders {
-/** Longer than a typical full call, so that most orders are sent once. */
-private static final Duration RESEND_INTERVAL = Duration.ofMillis ( 600 );
-
-/** Number of answered orders that are remembered to recognise duplicate answers. */
-private static final int MAX_REMEMBERED_ANSWERS = 4096;
-
-private final NodeId self;
-private final boolean sharesScheduling;
-private final Peers peers;
-private final Consumer < ServingEffect > effects;
-private final BooleanSupplier acceptsWork;
-private final BatchScheduler scheduler;
-private final Map < Long , PendingOrder > pending = new HashMap < > ( );
-private final Map < Long , VmId > answeredBy = new LinkedHashMap < > ( ) {
-@Override protected boolean removeEldestEntry ( Map.Entry < Long , VmId > eldest ) {
-return size ( ) > MAX_REMEMBERED_ANSWERS;
-}
-}
-;
-private Consumer < Answer > answers = answer -> {
-}
-;
-private long lastNumber;
-
-/**
+    /** Longer than a typical full call, so that most orders are sent once. */
+    private static final Duration RESEND_INTERVAL = Duration.ofMillis(600);
+
+    /** Number of answered orders that are remembered to recognise duplicate answers. */
+    private static final int MAX_REMEMBERED_ANSWERS = 4096;
+
+    private final NodeId self;
+    private final boolean sharesScheduling;
+    private final Peers peers;
+    private final Consumer<ServingEffect> effects;
+    private final BooleanSupplier acceptsWork;
+    private final BatchScheduler scheduler;
+    private final Map<Long, PendingOrder> pending = new HashMap<>();
+    private final Map<Long, VmId> answeredBy = new LinkedHashMap<>() {
+        @Override
+        protected boolean removeEldestEntry(Map.Entry<Long, VmId> eldest) {
+            return size() > MAX_REMEMBERED_ANSWERS;
+        }
+    };
+    private Consumer<Answer> answers = answer -> {};
+    private long lastNumber;
+
+    /**
      * The answer to an order of this node.
      *
      * @param order the order
@@ -70,223 +68,263 @@
      * @param scheduler the node that scheduled it
      * @param took time since it was ordered
      */
-record Answer ( BatchOrder order , BatchOutcome outcome , VmId scheduler , Duration took ) {
-}
-
-private static final class PendingOrder {
-private final BatchOrder order;
-private final BatchContract contract;
-private final Instant orderedAt;
-private VmId scheduler;
-private Instant resendAt = Instant.EPOCH;
-
-private PendingOrder ( BatchOrder order , BatchContract contract , VmId scheduler , Instant orderedAt ) {
-this.order = order;
-this.contract = contract;
-this.orderedAt = orderedAt;
-this.scheduler = scheduler;
-}
-}
-
-StepOrders ( ServingSetup setup , Peers peers , UpstreamDirectory directory , CallGate gate , Consumer < ServingEffect > effects , BooleanSupplier acceptsWork ) {
-this.self = setup.self ( );
-this.sharesScheduling = setup.features ( ).uses ( PolicyFeature.SHARED_FILLING );
-this.peers = peers;
-this.effects = effects;
-this.acceptsWork = acceptsWork;
-this.scheduler = new BatchScheduler ( directory , new SchedulerOutput ( ) , setup.features ( ) , gate );
-}
-
-/** Sets the receiver of answers to this node's orders. */
-void onAnswer ( Consumer < Answer > receiver ) {
-answers = receiver;
-}
-
-BatchScheduler scheduler ( ) {
-return scheduler;
-}
-
-/** Returns a new order id. */
-OrderId nextId ( ) {
-lastNumber ++;
-return new OrderId ( self , lastNumber );
-}
-
-void order ( BatchOrder order , BatchContract contract , Instant now ) {
-PendingOrder entry = new PendingOrder ( order , contract , schedulerOf ( order.pool ( ) , now ) , now );
-pending.put ( order.id ( ).number ( ) , entry );
-send ( entry , now );
-}
-
-/**
+    record Answer(BatchOrder order, BatchOutcome outcome, VmId scheduler, Duration took) {}
+
+    private static final class PendingOrder {
+        private final BatchOrder order;
+        private final BatchContract contract;
+        private final Instant orderedAt;
+        private VmId scheduler;
+        private Instant resendAt = Instant.EPOCH;
+
+        private PendingOrder(BatchOrder order, BatchContract contract, VmId scheduler, Instant orderedAt) {
+            this.order = order;
+            this.contract = contract;
+            this.orderedAt = orderedAt;
+            this.scheduler = scheduler;
+        }
+    }
+
+    StepOrders(
+            ServingSetup setup,
+            Peers peers,
+            UpstreamDirectory directory,
+            CallGate gate,
+            Consumer<ServingEffect> effects,
+            BooleanSupplier acceptsWork) {
+        this.self = setup.self();
+        this.sharesScheduling = setup.features().uses(PolicyFeature.SHARED_FILLING);
+        this.peers = peers;
+        this.effects = effects;
+        this.acceptsWork = acceptsWork;
+        this.scheduler = new BatchScheduler(directory, new SchedulerOutput(), setup.features(), gate);
+    }
+
+    /** Sets the receiver of answers to this node's orders. */
+    void onAnswer(Consumer<Answer> receiver) {
+        answers = receiver;
+    }
+
+    BatchScheduler scheduler() {
+        return scheduler;
+    }
+
+    /** Returns a new order id. */
+    OrderId nextId() {
+        lastNumber++;
+        return new OrderId(self, lastNumber);
+    }
+
+    void order(BatchOrder order, BatchContract contract, Instant now) {
+        PendingOrder entry = new PendingOrder(order, contract, schedulerOf(order.pool(), now), now);
+        pending.put(order.id().number(), entry);
+        send(entry, now);
+    }
+
+    /**
      * The expected waiting time of an order with this rank at a pool, as reported by the node that schedules the
      * pool.
      */
-Duration queueDelayOf ( PoolId pool , int rank , Instant now ) {
-VmId currentScheduler = schedulerOf ( pool , now );
-return currentScheduler.equals ( self.vm ( ) ) ? scheduler.queueDelayOf ( pool , rank , now ) : peers.queueDelayOf ( currentScheduler , pool , rank );
-}
-
-private VmId schedulerOf ( PoolId pool , Instant now ) {
-return sharesScheduling ? peers.dutyHolder ( PeerMembership.scheduling ( pool ) , acceptsWork.getAsBoolean ( ) , now ) : self.vm ( );
-}
-
-private void send ( PendingOrder entry , Instant now ) {
-entry.resendAt = now.plus ( RESEND_INTERVAL );
-if ( entry.scheduler.equals ( self.vm ( ) ) ) {
-scheduler.onOrder ( entry.order , entry.contract , now );
-return;
-}
-BatchOrder order = entry.order;
-effects.accept ( new ServingEffect.SendToPeer ( entry.scheduler , new ServingMessage.BatchRequest ( order.id ( ).number ( ) , order.request ( ) , order.step ( ) , order.pool ( ) , order.items ( ) , order.key ( ) , order.inputs ( ) , order.resultBytes ( ) , order.inputsDomain ( ) , order.urgency ( ).rank ( ) , Duration.between ( now , order.urgency ( ).targetTime ( ) ) , Duration.between ( now , order.urgency ( ).deadline ( ) ) ) ) );
-}
-
-/** Withdraws the orders of a request that has ended. */
-void withdraw ( List < Long > numbers , Instant now ) {
-for ( long number : numbers ) {
-PendingOrder entry = pending.remove ( number );
-if ( entry != null ) {
-withdraw ( entry , now );
-}
-}
-}
-
-private void withdraw ( PendingOrder entry , Instant now ) {
-if ( entry.scheduler.equals ( self.vm ( ) ) ) {
-scheduler.onWithdrawn ( entry.order.id ( ) , now );
-return;
-}
-long number = entry.order.id ( ).number ( );
-effects.accept ( new ServingEffect.SendToPeer ( entry.scheduler , new ServingMessage.BatchCancellation ( number ) ) );
-}
-
-/** Releases results at the node that schedules their pool, which tracks the room at stage servers. */
-void release ( VmId schedulerNode , List < StepResult > results ) {
-if ( results.isEmpty ( ) ) {
-return;
-}
-if ( schedulerNode.equals ( self.vm ( ) ) ) {
-scheduler.onReleased ( results );
-return;
-}
-effects.accept ( new ServingEffect.SendToPeer ( schedulerNode , new ServingMessage.ResultsReleased ( results ) ) );
-}
-
-/** Accepts an order of another node. */
-void onBatchRequest ( NodeId sender , ServingMessage.BatchRequest request , BatchContract contract , Instant now ) {
-BatchOrder.Urgency urgency = new BatchOrder.Urgency ( request.rank ( ) , now.plus ( request.targetTimeLeft ( ) ) , now.plus ( request.deadlineLeft ( ) ) );
-BatchOrder order = new BatchOrder ( new OrderId ( sender , request.number ( ) ) , request.request ( ) , request.step ( ) , request.pool ( ) , request.items ( ) , request.key ( ) , request.inputs ( ) , request.resultBytes ( ) , request.inputsDomain ( ) , urgency );
-scheduler.onOrder ( order , contract , now );
-}
-
-/** Withdraws an order of another node. */
-void onBatchCancellation ( NodeId sender , long number , Instant now ) {
-scheduler.onWithdrawn ( new OrderId ( sender , number ) , now );
-}
-
-/** Processes the answer of the scheduling node to an order. */
-void onBatchReply ( NodeId sender , ServingMessage.BatchReply reply , Instant now ) {
-answer ( reply.number ( ) , reply.outcome ( ) , sender.vm ( ) , now );
-}
-
-private void answer ( long number , BatchOutcome outcome , VmId schedulerNode , Instant now ) {
-PendingOrder entry = pending.remove ( number );
-if ( entry != null ) {
-answeredBy.put ( number , schedulerNode );
-answers.accept ( new Answer ( entry.order , outcome , schedulerNode , Duration.between ( entry.orderedAt , now ) ) );
-return;
-}
-// An order that is resent while its answer is in transit is answered twice. If the second answer were taken
-// for unwanted results, they would be released although the request is about to use them, and its next step
-// would not find them.
-boolean duplicate = schedulerNode.equals ( answeredBy.get ( number ) );
-if ( ! duplicate && outcome instanceof BatchOutcome.Made made ) {
-// The request has ended meanwhile, or another node has produced the same items.
-release ( schedulerNode , made.results ( ) );
-}
-}
-
-/** Resends unanswered orders, to another node if the pool is scheduled there now. */
-void onTick ( Instant now ) {
-for ( PendingOrder entry : List.copyOf ( pending.values ( ) ) ) {
-VmId currentScheduler = schedulerOf ( entry.order.pool ( ) , now );
-if ( ! currentScheduler.equals ( entry.scheduler ) && ( ! available ( entry.scheduler , now ) || returnedByScheduler ( entry ) ) ) {
-entry.scheduler = currentScheduler;
-entry.resendAt = now;
-}
-if ( ! now.isBefore ( entry.resendAt ) ) {
-send ( entry , now );
-}
-}
-scheduler.onTick ( now );
-}
-
-/**
+    Duration queueDelayOf(PoolId pool, int rank, Instant now) {
+        VmId currentScheduler = schedulerOf(pool, now);
+        return currentScheduler.equals(self.vm())
+                ? scheduler.queueDelayOf(pool, rank, now)
+                : peers.queueDelayOf(currentScheduler, pool, rank);
+    }
+
+    private VmId schedulerOf(PoolId pool, Instant now) {
+        return sharesScheduling
+                ? peers.dutyHolder(PeerMembership.scheduling(pool), acceptsWork.getAsBoolean(), now)
+                : self.vm();
+    }
+
+    private void send(PendingOrder entry, Instant now) {
+        entry.resendAt = now.plus(RESEND_INTERVAL);
+        if (entry.scheduler.equals(self.vm())) {
+            scheduler.onOrder(entry.order, entry.contract, now);
+            return;
+        }
+        BatchOrder order = entry.order;
+        effects.accept(new ServingEffect.SendToPeer(
+                entry.scheduler,
+                new ServingMessage.BatchRequest(
+                        order.id().number(),
+                        order.request(),
+                        order.step(),
+                        order.pool(),
+                        order.items(),
+                        order.key(),
+                        order.inputs(),
+                        order.resultBytes(),
+                        order.inputsDomain(),
+                        order.urgency().rank(),
+                        Duration.between(now, order.urgency().targetTime()),
+                        Duration.between(now, order.urgency().deadline()))));
+    }
+
+    /** Withdraws the orders of a request that has ended. */
+    void withdraw(List<Long> numbers, Instant now) {
+        for (long number : numbers) {
+            PendingOrder entry = pending.remove(number);
+            if (entry != null) {
+                withdraw(entry, now);
+            }
+        }
+    }
+
+    private void withdraw(PendingOrder entry, Instant now) {
+        if (entry.scheduler.equals(self.vm())) {
+            scheduler.onWithdrawn(entry.order.id(), now);
+            return;
+        }
+        long number = entry.order.id().number();
+        effects.accept(new ServingEffect.SendToPeer(entry.scheduler, new ServingMessage.BatchCancellation(number)));
+    }
+
+    /** Releases results at the node that schedules their pool, which tracks the room at stage servers. */
+    void release(VmId schedulerNode, List<StepResult> results) {
+        if (results.isEmpty()) {
+            return;
+        }
+        if (schedulerNode.equals(self.vm())) {
+            scheduler.onReleased(results);
+            return;
+        }
+        effects.accept(new ServingEffect.SendToPeer(schedulerNode, new ServingMessage.ResultsReleased(results)));
+    }
+
+    /** Accepts an order of another node. */
+    void onBatchRequest(NodeId sender, ServingMessage.BatchRequest request, BatchContract contract, Instant now) {
+        BatchOrder.Urgency urgency = new BatchOrder.Urgency(
+                request.rank(), now.plus(request.targetTimeLeft()), now.plus(request.deadlineLeft()));
+        BatchOrder order = new BatchOrder(
+                new OrderId(sender, request.number()),
+                request.request(),
+                request.step(),
+                request.pool(),
+                request.items(),
+                request.key(),
+                request.inputs(),
+                request.resultBytes(),
+                request.inputsDomain(),
+                urgency);
+        scheduler.onOrder(order, contract, now);
+    }
+
+    /** Withdraws an order of another node. */
+    void onBatchCancellation(NodeId sender, long number, Instant now) {
+        scheduler.onWithdrawn(new OrderId(sender, number), now);
+    }
+
+    /** Processes the answer of the scheduling node to an order. */
+    void onBatchReply(NodeId sender, ServingMessage.BatchReply reply, Instant now) {
+        answer(reply.number(), reply.outcome(), sender.vm(), now);
+    }
+
+    private void answer(long number, BatchOutcome outcome, VmId schedulerNode, Instant now) {
+        PendingOrder entry = pending.remove(number);
+        if (entry != null) {
+            answeredBy.put(number, schedulerNode);
+            answers.accept(new Answer(entry.order, outcome, schedulerNode, Duration.between(entry.orderedAt, now)));
+            return;
+        }
+        // An order that is resent while its answer is in transit is answered twice. If the second answer were taken
+        // for unwanted results, they would be released although the request is about to use them, and its next step
+        // would not find them.
+        boolean duplicate = schedulerNode.equals(answeredBy.get(number));
+        if (!duplicate && outcome instanceof BatchOutcome.Made made) {
+            // The request has ended meanwhile, or another node has produced the same items.
+            release(schedulerNode, made.results());
+        }
+    }
+
+    /** Resends unanswered orders, to another node if the pool is scheduled there now. */
+    void onTick(Instant now) {
+        for (PendingOrder entry : List.copyOf(pending.values())) {
+            VmId currentScheduler = schedulerOf(entry.order.pool(), now);
+            if (!currentScheduler.equals(entry.scheduler)
+                    && (!available(entry.scheduler, now) || returnedByScheduler(entry))) {
+                entry.scheduler = currentScheduler;
+                entry.resendAt = now;
+            }
+            if (!now.isBefore(entry.resendAt)) {
+                send(entry, now);
+            }
+        }
+        scheduler.onTick(now);
+    }
+
+    /**
      * Whether a node is up. An order stays with its node while that is up, even if another one schedules the pool
      * now: some of its items may already be in progress.
      */
-private boolean available ( VmId node , Instant now ) {
-return node.equals ( self.vm ( ) ) || peers.up ( node , now );
-}
+    private boolean available(VmId node, Instant now) {
+        return node.equals(self.vm()) || peers.up(node, now);
+    }
 
-/**
+    /**
      * Whether the local scheduler gives an order back that it has not called yet. A node that has just started knows
      * no peer and schedules all pools itself. Once it knows better, the orders that it has not called go to the node
      * that schedules for all; if it kept them, several nodes would find each other's servers full in turn until the
      * last of these orders is done.
      */
-private boolean returnedByScheduler ( PendingOrder entry ) {
-return entry.scheduler.equals ( self.vm ( ) ) && scheduler.withdrawIfUnstarted ( entry.order.id ( ) );
-}
-
-/** The other nodes that have orders of this node. */
-Set < VmId > partners ( ) {
-Set < VmId > partners = new HashSet < > ( );
-for ( PendingOrder entry : pending.values ( ) ) {
-partners.add ( entry.scheduler );
-}
-partners.remove ( self.vm ( ) );
-return partners;
-}
-
-/** Resends the orders that a peer has lost by its restart. */
-void onPeerRestarted ( VmId peer , Instant now ) {
-for ( PendingOrder entry : pending.values ( ) ) {
-if ( entry.scheduler.equals ( peer ) ) {
-entry.resendAt = now;
-}
-}
-}
-
-boolean idle ( ) {
-return pending.isEmpty ( ) && scheduler.idle ( );
-}
-
-/** Returns the number of unanswered orders of this node. */
-int size ( ) {
-return pending.size ( );
-}
-
-private final class SchedulerOutput implements BatchOutput {
-@Override public void call ( BatchCall call ) {
-effects.accept ( new ServingEffect.CallBatch ( call ) );
-}
-
-@Override public void outcome ( BatchOrder order , BatchOutcome outcome , Instant now ) {
-NodeId origin = order.id ( ).origin ( );
-if ( origin.equals ( self ) ) {
-answer ( order.id ( ).number ( ) , outcome , self.vm ( ) , now );
-return;
-}
-effects.accept ( new ServingEffect.SendToPeer ( origin.vm ( ) , new ServingMessage.BatchReply ( order.id ( ).number ( ) , outcome ) ) );
-}
-
-@Override public void release ( long number , Listing server , List < String > handles ) {
-effects.accept ( new ServingEffect.ReleaseResults ( number , server , handles ) );
-}
-
-@Override public void logDecision ( Decision decision ) {
-effects.accept ( new ServingEffect.LogDecision ( decision ) );
-}
-}
+    private boolean returnedByScheduler(PendingOrder entry) {
+        return entry.scheduler.equals(self.vm()) && scheduler.withdrawIfUnstarted(entry.order.id());
+    }
+
+    /** The other nodes that have orders of this node. */
+    Set<VmId> partners() {
+        Set<VmId> partners = new HashSet<>();
+        for (PendingOrder entry : pending.values()) {
+            partners.add(entry.scheduler);
+        }
+        partners.remove(self.vm());
+        return partners;
+    }
+
+    /** Resends the orders that a peer has lost by its restart. */
+    void onPeerRestarted(VmId peer, Instant now) {
+        for (PendingOrder entry : pending.values()) {
+            if (entry.scheduler.equals(peer)) {
+                entry.resendAt = now;
+            }
+        }
+    }
+
+    boolean idle() {
+        return pending.isEmpty() && scheduler.idle();
+    }
+
+    /** Returns the number of unanswered orders of this node. */
+    int size() {
+        return pending.size();
+    }
+
+    private final class SchedulerOutput implements BatchOutput {
+        @Override
+        public void call(BatchCall call) {
+            effects.accept(new ServingEffect.CallBatch(call));
+        }
+
+        @Override
+        public void outcome(BatchOrder order, BatchOutcome outcome, Instant now) {
+            NodeId origin = order.id().origin();
+            if (origin.equals(self)) {
+                answer(order.id().number(), outcome, self.vm(), now);
+                return;
+            }
+            effects.accept(new ServingEffect.SendToPeer(
+                    origin.vm(), new ServingMessage.BatchReply(order.id().number(), outcome)));
+        }
+
+        @Override
+        public void release(long number, Listing server, List<String> handles) {
+            effects.accept(new ServingEffect.ReleaseResults(number, server, handles));
+        }
+
+        @Override
+        public void logDecision(Decision decision) {
+            effects.accept(new ServingEffect.LogDecision(decision));
+        }
+    }
 }
