--- a/wagtaillug-core/src/main/java/org/wagtaillug/grant/GrantHolder.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/grant/GrantHolder.java
@@ -19,10 +19,10 @@
 import org.wagtaillug.membership.Ownership;
 import org.wagtaillug.membership.Rendezvous;
 import org.wagtaillug.membership.Vm;
-import org.wagtaillug.message.PeerMessage.GrantAsk;
 import org.wagtaillug.message.PeerMessage.GrantDemand;
 import org.wagtaillug.message.PeerMessage.GrantOffer;
 import org.wagtaillug.message.PeerMessage.GrantReply;
+import org.wagtaillug.message.PeerMessage.GrantRequest;
 import org.wagtaillug.node.Effect;
 import org.wagtaillug.node.Effects;
 
@@ -30,17 +30,17 @@
  * Holds the allowances that upstream owners have granted to this node, and decides whether an attempt may start.
  *
  * <pre>{@code
- * holder.want(pool, queued + running);
+ * holder.setDemand(pool, queued + running);
  * holder.onTick(now, effects);
- * if (holder.start(upstream, now)) {
- *     // send before holder.startBefore(upstream, now), and when the attempt ends:
- *     holder.finished(upstream, UpstreamOutcome.SUCCEEDED, now);
+ * if (holder.tryStart(upstream, now)) {
+ *     // send before holder.sendDeadline(upstream, now), and when the attempt ends:
+ *     holder.onFinished(upstream, UpstreamOutcome.SUCCEEDED, now);
  * }
  * }</pre>
  *
  * <p>A node that was paused may still hold an allowance that expired meanwhile and was granted to another node, and no
  * message tells it so on waking. Every start therefore compares the present time with the expiry of the allowance, and
- * the I/O layer compares again before it sends the first byte, see {@code Attempt.startBefore}.
+ * the I/O layer compares again before it sends the first byte, see {@code Attempt.sendDeadline}.
  */
 public final class GrantHolder {
     /** The maximum number of upstreams of a pool that a node uses; it uses all of a smaller pool. */
@@ -52,9 +52,9 @@
     /** How long an owner may leave grant requests unanswered before a warm upstream is used on a fixed share. */
     public static final Duration OWNER_TIMEOUT = Duration.ofMillis(1500);
 
-    private static final Duration ASK_INTERVAL = Duration.ofMillis(500);
-    private static final Duration COLD_ASK_INTERVAL = Duration.ofMillis(100);
-    private static final Duration MIN_ASK_INTERVAL = Duration.ofMillis(50);
+    private static final Duration REQUEST_INTERVAL = Duration.ofMillis(500);
+    private static final Duration COLD_REQUEST_INTERVAL = Duration.ofMillis(100);
+    private static final Duration MIN_REQUEST_INTERVAL = Duration.ofMillis(50);
     private static final Duration FIXED_SHARE_START_WINDOW = Duration.ofMillis(500);
     /** A longer gap between two ticks means that this node was paused. */
     private static final Duration MAX_TICK_GAP = Duration.ofMillis(500);
@@ -109,7 +109,7 @@
     }
 
     /** Sets how many requests this node would like to have in flight at the upstreams of a pool, in total. */
-    public void want(PoolId pool, int count) {
+    public void setDemand(PoolId pool, int count) {
         int before = demandByPool.getOrDefault(pool, 0);
         demandByPool.put(pool, count);
         if (count > before) {
@@ -139,8 +139,8 @@
             if (ownerDemands.isEmpty() && !link.isAcknowledgementDue()) {
                 continue;
             }
-            if (link.due(askInterval(link, waitingForCold.contains(each.getKey())), now)) {
-                sendAsk(each.getKey(), link, ownerDemands, now, effects);
+            if (link.due(requestInterval(link, waitingForCold.contains(each.getKey())), now)) {
+                sendRequest(each.getKey(), link, ownerDemands, now, effects);
             }
         }
         removeFormerOwners(now);
@@ -229,21 +229,21 @@
         return Math.max(count + headroom, upstream.inUse(now));
     }
 
-    private static Duration askInterval(OwnerLink link, boolean waitingForCold) {
+    private static Duration requestInterval(OwnerLink link, boolean waitingForCold) {
         if (link.isExpedited() || link.isAcknowledgementDue()) {
-            return MIN_ASK_INTERVAL;
+            return MIN_REQUEST_INTERVAL;
         }
-        return waitingForCold ? COLD_ASK_INTERVAL : ASK_INTERVAL;
+        return waitingForCold ? COLD_REQUEST_INTERVAL : REQUEST_INTERVAL;
     }
 
-    private void sendAsk(NodeId owner, OwnerLink link, List<GrantDemand> demands, Instant now, Effects effects) {
+    private void sendRequest(NodeId owner, OwnerLink link, List<GrantDemand> demands, Instant now, Effects effects) {
         long applied = link.applied();
-        GrantAsk ask = new GrantAsk(link.onAsk(now), applied, demands);
+        GrantRequest request = new GrantRequest(link.onRequestSent(now), applied, demands);
         if (!owner.equals(ownership.self())) {
-            effects.add(new Effect.SendToPeer(owner.vm(), ask));
+            effects.add(new Effect.SendToPeer(owner.vm(), request));
             return;
         }
-        Optional<GrantReply> reply = localOwner.answer(owner, ask, now, effects);
+        Optional<GrantReply> reply = localOwner.answer(owner, request, now, effects);
         applyLocalWithdrawals();
         if (reply.isPresent()) {
             onReply(owner, reply.get(), now, effects);
@@ -343,7 +343,7 @@
     }
 
     /** Takes one start if one is available; gives whether it was. Each has to be reported as finished once. */
-    public boolean start(VmId upstream, Instant now) {
+    public boolean tryStart(VmId upstream, Instant now) {
         if (available(upstream, now) == 0) {
             return false;
         }
@@ -352,7 +352,7 @@
     }
 
     /** The time by which an attempt that is started now must have been sent; later it may not be sent any more. */
-    public Instant startBefore(VmId upstream, Instant now) {
+    public Instant sendDeadline(VmId upstream, Instant now) {
         UpstreamGrant grant = grants.get(upstream);
         if (grant == null) {
             return now;
@@ -364,10 +364,10 @@
     }
 
     /** Records the end of an attempt that was started at an upstream. */
-    public void finished(VmId upstream, UpstreamOutcome outcome, Instant now) {
+    public void onFinished(VmId upstream, UpstreamOutcome outcome, Instant now) {
         UpstreamGrant grant = grants.get(upstream);
         if (grant != null) {
-            grant.finished(outcome, now);
+            grant.onFinished(outcome, now);
         }
     }
 
@@ -377,7 +377,7 @@
     }
 
     /** Whether an upstream is cold as far as this node knows; true for an unknown upstream. */
-    public boolean cold(VmId upstream) {
+    public boolean isCold(VmId upstream) {
         UpstreamGrant grant = grants.get(upstream);
         return grant == null || grant.cold();
     }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/membership/Members.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/membership/Members.java
@@ -261,9 +261,9 @@
         switch (message) {
             case Probe probe -> onProbe(sender, probe, now, effects);
             case ProbeReply reply -> onProbeReply(sender, reply, now);
-            case PeerMessage.StateAsk ignored -> log.onStateAsk(sender.vm(), effects);
+            case PeerMessage.StateRequest ignored -> log.onStateRequest(sender.vm(), effects);
             case PeerMessage.StateReply reply -> repair.onStateReply(sender.vm(), reply, now, effects);
-            case PeerMessage.GrantAsk ignored -> {
+            case PeerMessage.GrantRequest ignored -> {
                 return false;
             }
             case PeerMessage.GrantReply ignored -> {
@@ -278,7 +278,7 @@
 
     private void onProbe(NodeId sender, Probe probe, Instant now, Effects effects) {
         repair.onPeerPosition(sender.vm(), probe.position(), now);
-        Optional<Duration> tailAge = log.tailReadSentAt().map(askedAt -> Duration.between(askedAt, now));
+        Optional<Duration> tailAge = log.tailReadSentAt().map(requestedAt -> Duration.between(requestedAt, now));
         effects.add(new Effect.SendToPeer(
                 sender.vm(), new ProbeReply(probe.sequence(), position(), tailAge, log.logReachable(now), ready)));
     }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/message/ServingMessage.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/message/ServingMessage.java
@@ -56,7 +56,7 @@
      * @param feed which feed
      * @param from the sender's position; 0 if it has read nothing
      */
-    record FeedAsk(FeedName feed, long from) implements ServingMessage {}
+    record FeedRequest(FeedName feed, long from) implements ServingMessage {}
 
     /**
      * The latest records from a position.
@@ -64,7 +64,7 @@
      * @param feed which feed
      * @param batch the records
      */
-    record FeedHelp(FeedName feed, FeedBatch batch) implements ServingMessage {}
+    record FeedCatchUp(FeedName feed, FeedBatch batch) implements ServingMessage {}
 
     /**
      * Orders all items of a step from the node that schedules the pool's calls; resent until it is answered. Times are
@@ -78,12 +78,12 @@
      * @param key the key that a step without inputs works on
      * @param inputs the handles of the inputs of each item
      * @param resultBytes the approximate size of one result
-     * @param near the failure domain that holds most of its inputs
+     * @param inputsDomain the failure domain that holds most of its inputs
      * @param rank the priority rank; 0 is served first
-     * @param aimLeft the time until the latency target; negative once it has passed
+     * @param targetTimeLeft the time until the latency target; negative once it has passed
      * @param deadlineLeft the time until the deadline
      */
-    record PiecesWanted(
+    record BatchRequest(
             long number,
             RequestId request,
             int step,
@@ -92,26 +92,26 @@
             Optional<String> key,
             List<String> inputs,
             long resultBytes,
-            Optional<DomainId> near,
+            Optional<DomainId> inputsDomain,
             int rank,
-            Duration aimLeft,
+            Duration targetTimeLeft,
             Duration deadlineLeft)
             implements ServingMessage {}
 
     /**
-     * The response to {@link PiecesWanted}.
+     * The response to {@link BatchRequest}.
      *
      * @param number the number of the order
      * @param outcome the outcome of the order
      */
-    record PiecesAnswered(long number, BatchOutcome outcome) implements ServingMessage {}
+    record BatchReply(long number, BatchOutcome outcome) implements ServingMessage {}
 
     /**
      * Cancels an order of items.
      *
      * @param number the number of the order
      */
-    record PiecesWithdrawn(long number) implements ServingMessage {}
+    record BatchCancellation(long number) implements ServingMessage {}
 
     /**
      * The results of requests to the upstreams of a pool with a rollout in progress.
--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/Node.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/Node.java
@@ -87,7 +87,7 @@
         RoutingPolicy policy = setup.baselinePolicy()
                 ? new RoundRobinPolicy(upstreams)
                 : new LeastCompletionPolicy(upstreams, setup.address().domain());
-        dispatcher = new Dispatcher(setup.limits(), state, upstreams, policy, new ClaimsOnceOnly(claims), drain);
+        dispatcher = new Dispatcher(setup.limits(), state, upstreams, policy, new KeyClaimsAdapter(claims), drain);
     }
 
     /** Handles one event and returns the effects to execute, in order. */
@@ -95,7 +95,8 @@
         switch (event) {
             case Event.Tick ignored -> onTick(now);
             case Event.RequestArrived arrived -> onRequest(arrived.request(), now);
-            case Event.CallerLeft left -> dispatcher.onCallerDisconnected(left.request(), now, effects);
+            case Event.CallerDisconnected disconnected ->
+                dispatcher.onCallerDisconnected(disconnected.request(), now, effects);
             case Event.AttemptProgressed progressed -> dispatcher.onProgress(progressed.attempt(), now);
             case Event.AttemptEnded ended -> dispatcher.onEnded(ended.attempt(), ended.end(), now, effects);
             case Event.PeerMessageReceived received -> onPeerMessage(received, now);
@@ -105,7 +106,7 @@
             case Event.LogAppendFailed failed -> onAppendFailed(failed, now);
             case Event.VmListRead read -> onVmList(read.vms(), now);
             case Event.LoadReported reported -> onLoad(reported, now);
-            case Event.LoadRequestFailed missing -> grantOwner.onLoadMissing(missing.upstream(), now, effects);
+            case Event.LoadRequestFailed missing -> grantOwner.onLoadRequestFailed(missing.upstream(), now, effects);
             case Event.ChangeSubmitted submitted -> controlLog.submit(submitted.change(), now, effects);
             case Event.OrderEnded ended -> placement.onOrderEnded(ended.upstream(), ended.accepted(), now, effects);
             case Event.DrainStarted started -> drain.start(started.requestedAt());
@@ -158,13 +159,14 @@
     /** The reason why the node accepts no requests at all; empty while it accepts them. */
     private Optional<Refusal> admissionRefusal(Instant now) {
         if (drain.refuses(now)) {
-            return refuse(ResultCode.SHUTTING_DOWN, "the node is shutting down; use another node");
+            return refuse(ResultCode.SHUTTING_DOWN, "the node is shutting down; retry on another node");
         }
         if (!controlLog.complete() || !directory.isLoaded()) {
             return refuse(ResultCode.NOT_READY, "the node has not read the complete configuration yet");
         }
         if (members.viewStatus(now) == ViewStatus.CUT_OFF) {
-            return refuse(ResultCode.NODE_CUT_OFF, "the node is cut off from configuration changes; use another node");
+            return refuse(
+                    ResultCode.NODE_CUT_OFF, "the node is cut off from configuration changes; retry on another node");
         }
         return Optional.empty();
     }
@@ -175,14 +177,15 @@
 
     private void onPeerMessage(Event.PeerMessageReceived received, Instant now) {
         switch (received.message()) {
-            case PeerMessage.GrantAsk ask -> grantOwner.onAsk(received.sender(), ask, now, effects);
+            case PeerMessage.GrantRequest request ->
+                grantOwner.onGrantRequest(received.sender(), request, now, effects);
             case PeerMessage.GrantReply reply -> {
                 grantHolder.onReply(received.sender(), reply, now, effects);
                 dispatcher.onCapacityAvailable(now, effects);
             }
             case PeerMessage.Probe probe -> members.onPeerMessage(received.sender(), probe, now, effects);
             case PeerMessage.ProbeReply reply -> members.onPeerMessage(received.sender(), reply, now, effects);
-            case PeerMessage.StateAsk ask -> members.onPeerMessage(received.sender(), ask, now, effects);
+            case PeerMessage.StateRequest request -> members.onPeerMessage(received.sender(), request, now, effects);
             case PeerMessage.StateReply reply -> members.onPeerMessage(received.sender(), reply, now, effects);
             case ServingMessage ignored -> {
                 // Sent between nodes that route by host and path. This node does not, and owes no answer.
@@ -236,7 +239,7 @@
     private void deliverClaimResults(Instant now) {
         for (ClaimResult result : claims.results()) {
             switch (result) {
-                case ClaimResult.Acquired acquired -> dispatcher.onClaimWon(acquired.request(), now, effects);
+                case ClaimResult.Acquired acquired -> dispatcher.onClaimAcquired(acquired.request(), now, effects);
                 case ClaimResult.Recorded recorded ->
                     dispatcher.onClaimRecorded(
                             recorded.request(), recorded.code(), recorded.run(), recorded.output(), now, effects);
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/RequestFlows.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/RequestFlows.java
@@ -184,7 +184,7 @@
         int rank = customerRank * CUSTOMER_RANK_FACTOR + route.rank();
         Flow flow = new Flow(request, route, customer.map(Customer::id), rank, now);
         Duration needed = remainingTime.fromArrival(flow, now);
-        if (!shutdown.enoughFor(needed, now)) {
+        if (!shutdown.hasTimeFor(needed, now)) {
             refuseAtShutdown(flow, needed, now);
             return;
         }
@@ -205,7 +205,7 @@
             return false;
         }
         PathEstimate.Path estimate =
-                pathEstimate.estimate(flow, configuration, (pool, rank) -> steps.waitOf(pool, rank, now), now);
+                pathEstimate.estimate(flow, configuration, (pool, rank) -> steps.queueDelayOf(pool, rank, now), now);
         Duration excess = estimate.total().minus(flow.route().latencyTarget()).minus(BatchScheduler.LATE_GRACE);
         // A retry that comes after its latency target must not be refused for missing it while its pools are idle.
         if (estimate.waits().isZero() || !excess.isPositive()) {
@@ -221,7 +221,8 @@
     private RetryBudget budget(PoolId pool) {
         return budgets.computeIfAbsent(
                 pool,
-                id -> new RetryBudget(retryLimits.window(), retryLimits.ratio(), retryLimits.fixed(), roster::sharers));
+                id -> new RetryBudget(
+                        retryLimits.window(), retryLimits.ratio(), retryLimits.fixed(), roster::sharingNodes));
     }
 
     /** Orders the steps that are due, or sends the request when all steps are completed. */
@@ -290,7 +291,7 @@
                     now);
             return;
         }
-        if (!shutdown.enoughFor(remainingTime.fromArrival(flow, now), now)) {
+        if (!shutdown.hasTimeFor(remainingTime.fromArrival(flow, now), now)) {
             refuse(flow, ResultCode.SHUTTING_DOWN, Duration.ZERO, SHUTTING_DOWN_MESSAGE, now);
             return;
         }
@@ -304,7 +305,7 @@
             restartSteps(flow, DEFAULT_RETRY_AFTER, now);
             return;
         }
-        if (!shutdown.enoughFor(remainingTime.fromSending(flow, now), now)) {
+        if (!shutdown.hasTimeFor(remainingTime.fromSending(flow, now), now)) {
             fail(flow, ResultCode.SHUTTING_DOWN, SHUTTING_DOWN_MESSAGE, now);
             return;
         }
@@ -461,7 +462,7 @@
     /** After a fault the upstream may have restarted and counts as cold until its directory entry says otherwise. */
     private void recordFault(Upstream upstream, Duration took, Instant now) {
         health.onEnded(upstream.id(), Optional.empty(), took, false, now);
-        directory.onFault(upstream.id(), now.plus(ASSUMED_COLD_AFTER_FAULT));
+        directory.onConnectionFailure(upstream.id(), now.plus(ASSUMED_COLD_AFTER_FAULT));
     }
 
     private void onNotRun(Flow flow, int status, Instant now) {
@@ -518,7 +519,7 @@
         boolean allowed = flow.route().repeatable()
                 && flow.executions() < flow.route().attempts()
                 && now.isBefore(flow.deadline())
-                && shutdown.enoughFor(remainingTime.fromSending(flow, now), now);
+                && shutdown.hasTimeFor(remainingTime.fromSending(flow, now), now);
         return allowed && budget(flow.pool()).tryAcquire(now);
     }
 
@@ -564,7 +565,7 @@
         log.finish(flow, outcome, reason, now);
     }
 
-    void onCallerLeft(RequestId id, Instant now) {
+    void onCallerDisconnected(RequestId id, Instant now) {
         Flow flow = flows.get(id);
         if (flow == null) {
             return;
@@ -594,7 +595,7 @@
     void refuseUnanswerable(Instant now) {
         for (Flow flow : List.copyOf(flows.values())) {
             boolean unsent = flow.target().isEmpty() && !flow.answerStarted();
-            if (unsent && !shutdown.enoughFor(remainingTime.fromSending(flow, now), now)) {
+            if (unsent && !shutdown.hasTimeFor(remainingTime.fromSending(flow, now), now)) {
                 refuse(flow, ResultCode.SHUTTING_DOWN, Duration.ZERO, SHUTTING_DOWN_MESSAGE, now);
             }
         }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/Serving.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/Serving.java
@@ -86,7 +86,8 @@
         switch (event) {
             case ServingEvent.Tick ignored -> onTick(now);
             case ServingEvent.RequestArrived arrived -> onRequest(arrived.request(), now);
-            case ServingEvent.CallerLeft left -> flows.onCallerLeft(left.request(), now);
+            case ServingEvent.CallerDisconnected disconnected ->
+                flows.onCallerDisconnected(disconnected.request(), now);
             case ServingEvent.AnswerStarted started -> flows.onAnswerStarted(started.request(), started.attempt(), now);
             case ServingEvent.SendEnded ended -> flows.onSendEnded(ended.request(), ended.attempt(), ended.end(), now);
             case ServingEvent.BatchCallEnded ended -> orders.scheduler().onCallEnded(ended.call(), ended.end(), now);
@@ -99,14 +100,14 @@
             case ServingEvent.PeerDisconnected disconnected -> peers.onDisconnected(disconnected.peer(), now);
             case ServingEvent.FeedListed listed -> feeds.onListed(listed, now);
             case ServingEvent.FeedRead read -> feeds.onRead(read, now);
-            case ServingEvent.FeedForgotten forgotten -> feeds.onForgotten(forgotten.feed(), now);
+            case ServingEvent.FeedTruncated truncated -> feeds.onTruncated(truncated.feed(), now);
             case ServingEvent.FeedFailed failed -> {
                 if (feeds.onFailed(failed, now)) {
                     membership.notifyFollowers(heartbeat(true, now), now);
                 }
             }
             case ServingEvent.RecordWritten written -> membership.onRecordWritten(written, now);
-            case ServingEvent.DrainStarted started -> onDrainStarted(started.askedAt(), now);
+            case ServingEvent.DrainStarted started -> onDrainStarted(started.requestedAt(), now);
             case ServingEvent.PortsClosing ignored -> shutdown.closePorts();
         }
         feeds.setActive(FeedName.ROLLOUTS, rollouts.inProgress());
@@ -170,8 +171,8 @@
         }
     }
 
-    private void onDrainStarted(Instant askedAt, Instant now) {
-        shutdown.start(askedAt);
+    private void onDrainStarted(Instant requestedAt, Instant now) {
+        shutdown.start(requestedAt);
         log(Decision.builder("shutdown_begins")
                 .field("since_signal_ms", shutdown.since(now).toMillis())
                 .field("grace_ms", setup.drainGrace().toMillis())
@@ -209,25 +210,26 @@
                     orders.onPeerRestarted(sender.vm(), now);
                 }
             }
-            case ServingMessage.FeedAsk ask -> feeds.onAsk(sender.vm(), ask);
-            case ServingMessage.FeedHelp help -> feeds.onHelp(help, now);
+            case ServingMessage.FeedRequest request -> feeds.onFeedRequest(sender.vm(), request);
+            case ServingMessage.FeedCatchUp catchUp -> feeds.onFeedCatchUp(catchUp, now);
             case ServingMessage.FeedUpdate update -> feeds.onUpdate(sender.vm(), update, now);
-            case ServingMessage.PiecesWanted wanted -> onPiecesWanted(sender, wanted, now);
-            case ServingMessage.PiecesAnswered answered -> orders.onAnswered(sender, answered, now);
-            case ServingMessage.PiecesWithdrawn withdrawn -> orders.onWithdrawn(sender, withdrawn.number(), now);
+            case ServingMessage.BatchRequest request -> onBatchRequest(sender, request, now);
+            case ServingMessage.BatchReply reply -> orders.onBatchReply(sender, reply, now);
+            case ServingMessage.BatchCancellation cancellation ->
+                orders.onBatchCancellation(sender, cancellation.number(), now);
             case ServingMessage.RolloutReport report -> rollouts.onReport(report, now);
             case ServingMessage.ResultsReleased released -> orders.scheduler().onReleased(released.results());
         }
     }
 
-    private void onPiecesWanted(NodeId sender, ServingMessage.PiecesWanted wanted, Instant now) {
+    private void onBatchRequest(NodeId sender, ServingMessage.BatchRequest request, Instant now) {
         Optional<BatchContract> contract =
-                configuration.flatMap(latest -> latest.pool(wanted.pool())).flatMap(PoolProfile::items);
+                configuration.flatMap(latest -> latest.pool(request.pool())).flatMap(PoolProfile::items);
         if (contract.isEmpty()) {
             // This node does not know the pool yet; the sender repeats the order.
             return;
         }
-        orders.onWanted(sender, wanted, contract.get(), now);
+        orders.onBatchRequest(sender, request, contract.get(), now);
     }
 
     private boolean onFeedRecord(FeedName name, FeedRecord record, boolean storeUnstable, Instant now) {
@@ -301,7 +303,7 @@
                     flows.onRestarted(listing.id());
                 }
                 logUpstream(listing.id(), change, record);
-                return !known || !listing.coldFor().isZero();
+                return !known || !listing.remainingColdTime().isZero();
             }
             case DirectoryItem.Removed removed -> remove(removed.upstream(), record, storeUnstable, now);
             case DirectoryItem.Unreadable unreadable -> {
--- a/wagtaillug-core/src/test/java/org/wagtaillug/serving/PathEstimateTest.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/serving/PathEstimateTest.java
@@ -45,10 +45,10 @@
         for (PoolId pool : List.of(FIRST, SECOND)) {
             pools.put(pool, new PoolProfile(pool, 10, 0, Optional.of(contract), false));
         }
-        return new ServingConfiguration(1, new RouteTable(List.of(ROUTE)), pools, CallerLimits.DEFAULTS, Map.of());
+        return new ServingConfiguration(1, new RouteTable(List.of(ROUTE)), pools, CallerLimits.DEFAULT, Map.of());
     }
 
-    private PathEstimate.Path estimate(int waitOfFirst, int waitOfSecond) {
+    private PathEstimate.Path estimate(int queueDelayOfFirst, int queueDelayOfSecond) {
         RoutedRequest request = new RoutedRequest(
                 new RequestId("r"),
                 "club.example",
@@ -64,7 +64,7 @@
         return pathEstimate.estimate(
                 flow,
                 configuration(),
-                (pool, rank) -> Duration.ofMillis(pool.equals(FIRST) ? waitOfFirst : waitOfSecond),
+                (pool, rank) -> Duration.ofMillis(pool.equals(FIRST) ? queueDelayOfFirst : queueDelayOfSecond),
                 NOW);
     }
 
--- a/wagtaillug-link/src/main/java/org/wagtaillug/link/ServingCodec.java
+++ b/wagtaillug-link/src/main/java/org/wagtaillug/link/ServingCodec.java
@@ -42,14 +42,14 @@
     static void encode(ServingMessage message, EnvelopeMessage.Builder envelope) {
         switch (message) {
             case ServingMessage.Heartbeat heartbeat -> envelope.setHeartbeat(encode(heartbeat));
-            case ServingMessage.FeedAsk ask ->
+            case ServingMessage.FeedRequest ask ->
                 envelope.setFeedAsk(
                         FeedAskMessage.newBuilder().setFeed(encode(ask.feed())).setFrom(ask.from()));
-            case ServingMessage.FeedHelp help -> envelope.setFeedHelp(encode(help));
+            case ServingMessage.FeedCatchUp help -> envelope.setFeedHelp(encode(help));
             case ServingMessage.FeedUpdate update -> envelope.setFeedUpdate(encode(update));
-            case ServingMessage.PiecesWanted wanted -> envelope.setPiecesWanted(encode(wanted));
-            case ServingMessage.PiecesAnswered answered -> envelope.setPiecesAnswered(encode(answered));
-            case ServingMessage.PiecesWithdrawn withdrawn ->
+            case ServingMessage.BatchRequest wanted -> envelope.setPiecesWanted(encode(wanted));
+            case ServingMessage.BatchReply answered -> envelope.setPiecesAnswered(encode(answered));
+            case ServingMessage.BatchCancellation withdrawn ->
                 envelope.setPiecesWithdrawn(PiecesWithdrawnMessage.newBuilder().setNumber(withdrawn.number()));
             case ServingMessage.RolloutReport report -> envelope.setRolloutReport(encode(report));
             case ServingMessage.ResultsReleased released ->
@@ -67,7 +67,7 @@
         return switch (envelope.getKindCase()) {
             case HEARTBEAT -> decode(envelope.getHeartbeat());
             case FEED_ASK ->
-                new ServingMessage.FeedAsk(
+                new ServingMessage.FeedRequest(
                         decode(envelope.getFeedAsk().getFeed()),
                         envelope.getFeedAsk().getFrom());
             case FEED_HELP -> decode(envelope.getFeedHelp());
@@ -75,7 +75,8 @@
             case PIECES_WANTED -> decode(envelope.getPiecesWanted());
             case PIECES_ANSWERED -> decode(envelope.getPiecesAnswered());
             case PIECES_WITHDRAWN ->
-                new ServingMessage.PiecesWithdrawn(envelope.getPiecesWithdrawn().getNumber());
+                new ServingMessage.BatchCancellation(
+                        envelope.getPiecesWithdrawn().getNumber());
             case RESULTS_RELEASED ->
                 new ServingMessage.ResultsReleased(
                         decode(envelope.getResultsReleased().getResultsList()));
@@ -168,7 +169,7 @@
         };
     }
 
-    private static FeedHelpMessage encode(ServingMessage.FeedHelp help) {
+    private static FeedHelpMessage encode(ServingMessage.FeedCatchUp help) {
         return FeedHelpMessage.newBuilder()
                 .setFeed(encode(help.feed()))
                 .setNext(help.batch().next())
@@ -177,9 +178,9 @@
                 .build();
     }
 
-    private static ServingMessage.FeedHelp decode(FeedHelpMessage message) {
+    private static ServingMessage.FeedCatchUp decode(FeedHelpMessage message) {
         FeedBatch batch = new FeedBatch(message.getNext(), message.getWhole(), decodeRecords(message.getRecordsList()));
-        return new ServingMessage.FeedHelp(decode(message.getFeed()), batch);
+        return new ServingMessage.FeedCatchUp(decode(message.getFeed()), batch);
     }
 
     private static FeedUpdateMessage encode(ServingMessage.FeedUpdate update) {
@@ -219,7 +220,7 @@
         return records;
     }
 
-    private static PiecesWantedMessage encode(ServingMessage.PiecesWanted wanted) {
+    private static PiecesWantedMessage encode(ServingMessage.BatchRequest wanted) {
         PiecesWantedMessage.Builder message = PiecesWantedMessage.newBuilder()
                 .setNumber(wanted.number())
                 .setRequest(wanted.request().value())
@@ -229,15 +230,15 @@
                 .addAllInputs(wanted.inputs())
                 .setResultBytes(wanted.resultBytes())
                 .setRank(wanted.rank())
-                .setAimLeft(wanted.aimLeft().toMillis())
+                .setAimLeft(wanted.targetTimeLeft().toMillis())
                 .setDeadlineLeft(wanted.deadlineLeft().toMillis());
         wanted.key().ifPresent(message::setKey);
-        wanted.near().ifPresent(domain -> message.setNear(domain.value()));
+        wanted.inputsDomain().ifPresent(domain -> message.setNear(domain.value()));
         return message.build();
     }
 
-    private static ServingMessage.PiecesWanted decode(PiecesWantedMessage message) {
-        return new ServingMessage.PiecesWanted(
+    private static ServingMessage.BatchRequest decode(PiecesWantedMessage message) {
+        return new ServingMessage.BatchRequest(
                 message.getNumber(),
                 new RequestId(message.getRequest()),
                 message.getStep(),
@@ -252,7 +253,7 @@
                 Duration.ofMillis(message.getDeadlineLeft()));
     }
 
-    private static PiecesAnsweredMessage encode(ServingMessage.PiecesAnswered answered) {
+    private static PiecesAnsweredMessage encode(ServingMessage.BatchReply answered) {
         PiecesAnsweredMessage.Builder message =
                 PiecesAnsweredMessage.newBuilder().setNumber(answered.number());
         switch (answered.outcome()) {
@@ -264,11 +265,11 @@
         return message.build();
     }
 
-    private static ServingMessage.PiecesAnswered decode(PiecesAnsweredMessage message) {
+    private static ServingMessage.BatchReply decode(PiecesAnsweredMessage message) {
         BatchOutcome outcome = message.getNotMade() == NotMadeReasonMessage.NOT_MADE_UNSPECIFIED
                 ? new BatchOutcome.Made(decode(message.getResultsList()))
                 : new BatchOutcome.NotMade(decode(message.getNotMade()), Duration.ofMillis(message.getRetryAfter()));
-        return new ServingMessage.PiecesAnswered(message.getNumber(), outcome);
+        return new ServingMessage.BatchReply(message.getNumber(), outcome);
     }
 
     private static NotMadeReasonMessage encode(BatchOutcome.Reason reason) {
