--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/RequestFlows.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/RequestFlows.java
@@ -40,22 +40,17 @@
 
 /** The requests in progress on this node: advances each one and gives it exactly one final answer. */
 final class RequestFlows {
-    private static final String SHUTTING_DOWN_MESSAGE = "node is shutting down, retry on another node";
+    private static final String SHUTTING_DOWN_MESSAGE = "node is shutting down; retry on another node";
 
     /** Route label in metrics for requests that match no route. */
     static final String NO_ROUTE = "none";
 
-    /**
-     * An upstream counts as cold for this long after a fault: two of the periods at which it renews its directory
-     * entry.
-     */
+    /** An upstream counts as cold for this long after a fault: two renewal periods of its directory entry. */
     private static final Duration ASSUMED_COLD_AFTER_FAULT = Duration.ofMillis(2500);
 
     static final Duration DEFAULT_RETRY_AFTER = Duration.ofMillis(500);
 
-    /**
-     * A request that all upstreams are too busy for waits for its latency target divided by this and is then refused.
-     */
+    /** If all upstreams are too busy, a request waits for its latency target divided by this and is then refused. */
     private static final int ADMISSION_WAIT_DIVISOR = 8;
 
     /** Limit on attempts of one request that was not executed, independent of its route. */
@@ -236,7 +231,7 @@
                 return;
             }
             if (!steps.order(flow, step, now)) {
-                String message = "pool \"" + step.pool() + "\" of step " + step.number() + " accepts no pieces";
+                String message = "pool \"" + step.pool() + "\" of step " + step.number() + " accepts no items";
                 refuse(flow, ResultCode.STEP_FAILED, DEFAULT_RETRY_AFTER, message, now);
                 return;
             }
@@ -276,19 +271,12 @@
         refuse(flow, code, notMade.retryAfter(), message, now);
     }
 
-    /**
-     * Restarts all steps, at most once, after a result was lost at its stage server. A request is never sent without
-     * its inputs.
-     */
+    /** Restarts all steps, at most once, after a stage server lost a result: no request is sent without its inputs. */
     private void restartSteps(Flow flow, Duration retryAfter, Instant now) {
         steps.endRequest(flow, now);
         if (flow.restartSteps() > MAX_STEP_RESTARTS) {
-            refuse(
-                    flow,
-                    ResultCode.STEP_FAILED,
-                    retryAfter,
-                    "step results were lost again after all steps had been repeated",
-                    now);
+            String message = "step results were lost again after all steps had been repeated";
+            refuse(flow, ResultCode.STEP_FAILED, retryAfter, message, now);
             return;
         }
         if (!shutdown.hasTimeFor(remainingTime.fromArrival(flow, now), now)) {
--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/Serving.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/Serving.java
@@ -183,7 +183,7 @@
     private void onRequest(RoutedRequest request, Instant now) {
         if (configuration.isEmpty()) {
             // Without a configuration, an unknown path cannot be told from a route that has not been read yet.
-            String message = "node has not read its configuration yet, retry on another node";
+            String message = "node has not read its configuration yet; retry on another node";
             effects.add(new ServingEffect.Refuse(
                     request.id(), Refusal.notRun(ResultCode.NOT_READY, RequestFlows.DEFAULT_RETRY_AFTER, message)));
             effects.add(new ServingEffect.Finished(
