--- a/wagtaillug-benchmarks/src/main/java/org/wagtaillug/benchmarks/GrantBenchmark.java
+++ b/wagtaillug-benchmarks/src/main/java/org/wagtaillug/benchmarks/GrantBenchmark.java
@@ -28,7 +28,7 @@
 import org.wagtaillug.node.Effect;
 import org.wagtaillug.node.Effects;
 
-/** Renews allowances at an owner; the given number of holders ask in turn for the owner's upstreams. */
+/** Renews allowances at an owner; the given number of holders send grant requests in turn for its upstreams. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -36,7 +36,7 @@
 @Measurement(iterations = 3, time = 1)
 @Fork(1)
 public class GrantBenchmark {
-    /** The number of nodes that ask. */
+    /** The number of nodes that send requests. */
     @Param({"9", "340"})
     public int holders;
 
@@ -67,7 +67,7 @@
         }
     }
 
-    /** Answers one grant ask. */
+    /** Answers one grant request. */
     @Benchmark
     public List<Effect> renewal() {
         sequence++;
--- a/wagtaillug-benchmarks/src/main/java/org/wagtaillug/benchmarks/NodeAtSize.java
+++ b/wagtaillug-benchmarks/src/main/java/org/wagtaillug/benchmarks/NodeAtSize.java
@@ -96,7 +96,7 @@
     private final LogRecordCodec records = new LogRecordCodec();
     private final List<LogRecord> control = new ArrayList<>();
     private final Deque<Event> due = new ArrayDeque<>();
-    private final Map<NodeId, Long> asks = new HashMap<>();
+    private final Map<NodeId, Long> grantRequests = new HashMap<>();
     private final Node node;
     private Instant now = START;
     private long bytesOut;
@@ -262,8 +262,8 @@
     }
 
     /**
-     * Sends the grant asks and probes of the other nodes. Every holder that uses an upstream of this node asks for it; each
-     * holder uses a limited part of each pool.
+     * Sends the grant requests and probes of the other nodes. Every holder that uses an upstream of this node requests
+     * grants for it; each holder uses a limited part of each pool.
      */
     private void receivePeerMessages() {
         owned = 0;
@@ -285,11 +285,11 @@
             }
         }
         for (Map.Entry<NodeId, List<PeerMessage.GrantDemand>> each : demands.entrySet()) {
-            long sequence = asks.merge(each.getKey(), 1L, Long::sum);
+            long sequence = grantRequests.merge(each.getKey(), 1L, Long::sum);
             receive(each.getKey(), new PeerMessage.GrantRequest(sequence, sequence - 1, each.getValue()));
         }
         for (NodeId prober : probers()) {
-            receive(prober, new PeerMessage.Probe(asks.getOrDefault(prober, 0L), position()));
+            receive(prober, new PeerMessage.Probe(grantRequests.getOrDefault(prober, 0L), position()));
         }
     }
 
@@ -312,7 +312,7 @@
             case Effect.ReadLog read -> due.addLast(read(read));
             case Effect.AppendToLog append -> append(append);
             case Effect.ReadVmList ignored -> due.addLast(new Event.VmListRead(vms));
-            case Effect.RequestLoad ask -> due.addLast(new Event.LoadReported(ask.upstream(), report()));
+            case Effect.RequestLoad request -> due.addLast(new Event.LoadReported(request.upstream(), report()));
             case Effect.SendToPeer send -> send(send);
             case Effect.StartAttempt start -> start(start.attempt());
             case Effect.AnswerServed ignored -> served++;
--- a/wagtaillug-link/src/main/java/org/wagtaillug/link/ServingCodec.java
+++ b/wagtaillug-link/src/main/java/org/wagtaillug/link/ServingCodec.java
@@ -42,15 +42,16 @@
     static void encode(ServingMessage message, EnvelopeMessage.Builder envelope) {
         switch (message) {
             case ServingMessage.Heartbeat heartbeat -> envelope.setHeartbeat(encode(heartbeat));
-            case ServingMessage.FeedRequest ask ->
-                envelope.setFeedAsk(
-                        FeedAskMessage.newBuilder().setFeed(encode(ask.feed())).setFrom(ask.from()));
-            case ServingMessage.FeedCatchUp help -> envelope.setFeedHelp(encode(help));
+            case ServingMessage.FeedRequest request ->
+                envelope.setFeedAsk(FeedAskMessage.newBuilder()
+                        .setFeed(encode(request.feed()))
+                        .setFrom(request.from()));
+            case ServingMessage.FeedCatchUp catchUp -> envelope.setFeedHelp(encode(catchUp));
             case ServingMessage.FeedUpdate update -> envelope.setFeedUpdate(encode(update));
-            case ServingMessage.BatchRequest wanted -> envelope.setPiecesWanted(encode(wanted));
-            case ServingMessage.BatchReply answered -> envelope.setPiecesAnswered(encode(answered));
-            case ServingMessage.BatchCancellation withdrawn ->
-                envelope.setPiecesWithdrawn(PiecesWithdrawnMessage.newBuilder().setNumber(withdrawn.number()));
+            case ServingMessage.BatchRequest request -> envelope.setPiecesWanted(encode(request));
+            case ServingMessage.BatchReply reply -> envelope.setPiecesAnswered(encode(reply));
+            case ServingMessage.BatchCancellation cancellation ->
+                envelope.setPiecesWithdrawn(PiecesWithdrawnMessage.newBuilder().setNumber(cancellation.number()));
             case ServingMessage.RolloutReport report -> envelope.setRolloutReport(encode(report));
             case ServingMessage.ResultsReleased released ->
                 envelope.setResultsReleased(
@@ -169,12 +170,12 @@
         };
     }
 
-    private static FeedHelpMessage encode(ServingMessage.FeedCatchUp help) {
+    private static FeedHelpMessage encode(ServingMessage.FeedCatchUp catchUp) {
         return FeedHelpMessage.newBuilder()
-                .setFeed(encode(help.feed()))
-                .setNext(help.batch().next())
-                .setWhole(help.batch().complete())
-                .addAllRecords(encodeRecords(help.batch().records()))
+                .setFeed(encode(catchUp.feed()))
+                .setNext(catchUp.batch().next())
+                .setWhole(catchUp.batch().complete())
+                .addAllRecords(encodeRecords(catchUp.batch().records()))
                 .build();
     }
 
@@ -220,20 +221,20 @@
         return records;
     }
 
-    private static PiecesWantedMessage encode(ServingMessage.BatchRequest wanted) {
+    private static PiecesWantedMessage encode(ServingMessage.BatchRequest request) {
         PiecesWantedMessage.Builder message = PiecesWantedMessage.newBuilder()
-                .setNumber(wanted.number())
-                .setRequest(wanted.request().value())
-                .setStep(wanted.step())
-                .setPool(wanted.pool().value())
-                .setPieces(wanted.items())
-                .addAllInputs(wanted.inputs())
-                .setResultBytes(wanted.resultBytes())
-                .setRank(wanted.rank())
-                .setAimLeft(wanted.targetTimeLeft().toMillis())
-                .setDeadlineLeft(wanted.deadlineLeft().toMillis());
-        wanted.key().ifPresent(message::setKey);
-        wanted.inputsDomain().ifPresent(domain -> message.setNear(domain.value()));
+                .setNumber(request.number())
+                .setRequest(request.request().value())
+                .setStep(request.step())
+                .setPool(request.pool().value())
+                .setPieces(request.items())
+                .addAllInputs(request.inputs())
+                .setResultBytes(request.resultBytes())
+                .setRank(request.rank())
+                .setAimLeft(request.targetTimeLeft().toMillis())
+                .setDeadlineLeft(request.deadlineLeft().toMillis());
+        request.key().ifPresent(message::setKey);
+        request.inputsDomain().ifPresent(domain -> message.setNear(domain.value()));
         return message.build();
     }
 
@@ -253,10 +254,10 @@
                 Duration.ofMillis(message.getDeadlineLeft()));
     }
 
-    private static PiecesAnsweredMessage encode(ServingMessage.BatchReply answered) {
+    private static PiecesAnsweredMessage encode(ServingMessage.BatchReply reply) {
         PiecesAnsweredMessage.Builder message =
-                PiecesAnsweredMessage.newBuilder().setNumber(answered.number());
-        switch (answered.outcome()) {
+                PiecesAnsweredMessage.newBuilder().setNumber(reply.number());
+        switch (reply.outcome()) {
             case BatchOutcome.Made made -> message.addAllResults(encode(made.results()));
             case BatchOutcome.NotMade notMade ->
                 message.setNotMade(encode(notMade.reason()))
