--- a/wagtaillug-core/src/main/java/org/wagtaillug/grant/GrantHolder.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/grant/GrantHolder.java
@@ -351,7 +351,7 @@
         return true;
     }
 
-    /** The time by which an attempt that is started now must have been sent; later it may not be sent any more. */
+    /** The time before which an attempt that is started now must have been sent; from then on it may not be sent. */
     public Instant sendDeadline(VmId upstream, Instant now) {
         UpstreamGrant grant = grants.get(upstream);
         if (grant == null) {
