--- a/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/DispatchLimits.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/dispatch/DispatchLimits.java
@@ -9,5 +9,5 @@
  */
 public record DispatchLimits(int requestsInFlight, double retryShare, double hedgeShare) {
     /** The default limits. */
-    public static final DispatchLimits DEFAULTS = new DispatchLimits(400, 0.2, 0.05);
+    public static final DispatchLimits DEFAULT = new DispatchLimits(400, 0.2, 0.05);
 }
--- a/wagtaillug-core/src/main/java/org/wagtaillug/node/NodeSetup.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/node/NodeSetup.java
@@ -18,7 +18,7 @@
  * @param self the id of this incarnation of the node
  * @param address where it listens for other nodes, and its failure domain
  * @param seeds nodes to contact until the roster is known
- * @param limits limits of the dispatcher; default {@link DispatchLimits#DEFAULTS}
+ * @param limits limits of the dispatcher; default {@link DispatchLimits#DEFAULT}
  * @param retention the log's retention; default 1 h
  * @param baselinePolicy whether to route by the baseline policy; default false
  * @param shutdownGrace time between the shutdown signal and the kill of the process; default 30 s
@@ -41,7 +41,7 @@
         private final NodeId self;
         private final NodeAddress address;
         private final List<Members.Seed> seeds = new ArrayList<>();
-        private DispatchLimits limits = DispatchLimits.DEFAULTS;
+        private DispatchLimits limits = DispatchLimits.DEFAULT;
         private Duration retention = Duration.ofHours(1);
         private boolean baselinePolicy;
         private Duration shutdownGrace = Duration.ofSeconds(30);
--- a/wagtaillug-core/src/test/java/org/wagtaillug/dispatch/DispatcherHarness.java
+++ b/wagtaillug-core/src/test/java/org/wagtaillug/dispatch/DispatcherHarness.java
@@ -74,7 +74,7 @@
     }
 
     DispatcherHarness() {
-        this(DispatchLimits.DEFAULTS);
+        this(DispatchLimits.DEFAULT);
     }
 
     Instant now() {
