--- a/wagtaillug-core/src/main/java/org/wagtaillug/serving/RequestFlows.java
+++ b/wagtaillug-core/src/main/java/org/wagtaillug/serving/RequestFlows.java
@@ -275,8 +275,12 @@
     private void restartSteps(Flow flow, Duration retryAfter, Instant now) {
         steps.endRequest(flow, now);
         if (flow.restartSteps() > MAX_STEP_RESTARTS) {
-            String message = "step results were lost again after all steps had been repeated";
-            refuse(flow, ResultCode.STEP_FAILED, retryAfter, message, now);
+            refuse(
+                    flow,
+                    ResultCode.STEP_FAILED,
+                    retryAfter,
+                    "step results were lost again after all steps had been repeated",
+                    now);
             return;
         }
         if (!shutdown.hasTimeFor(remainingTime.fromArrival(flow, now), now)) {
@@ -530,10 +534,7 @@
         refuse(flow, code, retryAfter, message, now);
     }
 
-    /**
-     * Refuses a request as not run; applies only if no upstream has received it or all of them reported that they did
-     * not run it.
-     */
+    /** Refuses a request as not run; if no upstream received it or all of them reported that they did not run it. */
     private void refuse(Flow flow, ResultCode code, Duration retryAfter, String message, Instant now) {
         if (flow.answerStarted() || flow.mayHaveRun()) {
             fail(flow, code, message, now);
